--- a/tests/entry/coordinator_agents_test.cpp
+++ b/tests/entry/coordinator_agents_test.cpp
@@ -1,6 +1,6 @@
 //===- Agents that leave, restart, fall silent or are renewed -----------===//
 
-#include "tests/entry/coordinator_bench.h"
+#include "tests/entry/coordinator_fixture.h"
 
 using namespace yardwheel;
 using namespace std::chrono_literals;
--- a/tests/entry/coordinator_bench.h
+++ b/tests/entry/coordinator_fixture.h
@@ -1,12 +1,13 @@
-//===- tests/entry/coordinator_bench.h - A coordinator alone ----*- C++ -*-===//
+//===- tests/entry/coordinator_fixture.h - A coordinator alone ----*- C++
+//-*-===//
 ///
 /// \file
 /// A coordinator, the agents that tests play for it, and what it sends and
 /// answers.
 ///
 //===----------------------------------------------------------------------===//
-#ifndef YARDWHEEL_TESTS_ENTRY_COORDINATOR_BENCH_H
-#define YARDWHEEL_TESTS_ENTRY_COORDINATOR_BENCH_H
+#ifndef YARDWHEEL_TESTS_ENTRY_COORDINATOR_FIXTURE_H
+#define YARDWHEEL_TESTS_ENTRY_COORDINATOR_FIXTURE_H
 
 #include "entry/lease_coordinator.h"
 
--- a/tests/entry/coordinator_lists_test.cpp
+++ b/tests/entry/coordinator_lists_test.cpp
@@ -1,6 +1,6 @@
 //===- What agents list as held for an entry, and what follows from it ----===//
 
-#include "tests/entry/coordinator_bench.h"
+#include "tests/entry/coordinator_fixture.h"
 
 #include <functional>
 
--- a/tests/entry/coordinator_placement_test.cpp
+++ b/tests/entry/coordinator_placement_test.cpp
@@ -1,6 +1,6 @@
 //===- Where tasks are placed, wait, are moved and shed -----------------===//
 
-#include "tests/entry/coordinator_bench.h"
+#include "tests/entry/coordinator_fixture.h"
 
 using namespace yardwheel;
 using namespace std::chrono_literals;
--- a/tests/entry/lease_coordinator_test.cpp
+++ b/tests/entry/lease_coordinator_test.cpp
@@ -1,6 +1,6 @@
 //===- Jobs that a coordinator takes, answers and gives up --------------===//
 
-#include "tests/entry/coordinator_bench.h"
+#include "tests/entry/coordinator_fixture.h"
 
 using namespace yardwheel;
 using namespace std::chrono_literals;
--- a/tests/entry/lease_hunt_test.cpp
+++ b/tests/entry/lease_hunt_test.cpp
@@ -1,7 +1,7 @@
 // Random faults on the leased path, for many seeds. A failing seed is printed
 // with its story.
 
-#include "tests/entry/lease_story.h"
+#include "tests/entry/lease_scenario.h"
 #include "tests/support/seeds.h"
 
 #include <fmt/format.h>
--- a/tests/entry/lease_story.cpp
+++ b/tests/entry/lease_scenario.cpp
@@ -1,4 +1,4 @@
-#include "tests/entry/lease_story.h"
+#include "tests/entry/lease_scenario.h"
 
 #include <algorithm>
 #include <fmt/format.h>
--- a/tests/entry/lease_story.h
+++ b/tests/entry/lease_scenario.h
@@ -1,4 +1,5 @@
-//===- tests/entry/lease_story.h - A random story of faults -----*- C++ -*-===//
+//===- tests/entry/lease_scenario.h - A random story of faults -----*- C++
+//-*-===//
 ///
 /// \file
 /// One random story of the leased path: jobs of several lengths, and beside
@@ -6,8 +7,8 @@
 /// time. Then all is mended, and calm for long enough that all can end.
 ///
 //===----------------------------------------------------------------------===//
-#ifndef YARDWHEEL_TESTS_ENTRY_LEASE_STORY_H
-#define YARDWHEEL_TESTS_ENTRY_LEASE_STORY_H
+#ifndef YARDWHEEL_TESTS_ENTRY_LEASE_SCENARIO_H
+#define YARDWHEEL_TESTS_ENTRY_LEASE_SCENARIO_H
 
 #include "emulator/persistent_caller.h"
 
--- a/tests/entry/older_callers_test.cpp
+++ b/tests/entry/older_callers_test.cpp
@@ -1,6 +1,6 @@
 //===- Jobs that several callers await, of whom some no longer do ---------===//
 
-#include "tests/entry/coordinator_bench.h"
+#include "tests/entry/coordinator_fixture.h"
 
 using namespace yardwheel;
 using namespace std::chrono_literals;
--- a/tests/entry/placement_leases_test.cpp
+++ b/tests/entry/placement_leases_test.cpp
@@ -2,7 +2,7 @@
 // its agent, so that nothing an entry sends keeps a run alive of a job that it
 // has answered for.
 
-#include "tests/entry/coordinator_bench.h"
+#include "tests/entry/coordinator_fixture.h"
 
 #include <functional>
 
