--- a/bench/overload_main.cpp
+++ b/bench/overload_main.cpp
@@ -37,19 +37,21 @@
     {"no offers",
      [](MixedLoadOptions &O) { O.World.Coordinator.Waiting.Enabled = false; }},
     {"no forecasts",
-     [](MixedLoadOptions &O) { O.World.Coordinator.Board.Forecasts = false; }},
+     [](MixedLoadOptions &O) {
+       O.World.Coordinator.Workers.Forecasts = false;
+     }},
     {"offers in any pool",
      [](MixedLoadOptions &O) {
        O.World.Coordinator.Waiting.MaxWorkers = SIZE_MAX;
      }},
     {"two refusals by busy agents",
-     [](MixedLoadOptions &O) { O.World.Coordinator.MaxBounces = 2; }},
+     [](MixedLoadOptions &O) { O.World.Coordinator.MaxRefusableRetries = 2; }},
     {"spread placement",
      [](MixedLoadOptions &O) {
-       O.World.Coordinator.Board.Placement = "spread";
+       O.World.Coordinator.Workers.Placement = "spread";
      }},
     {"no refusal by busy agents",
-     [](MixedLoadOptions &O) { O.World.Coordinator.MaxBounces = 0; }},
+     [](MixedLoadOptions &O) { O.World.Coordinator.MaxRefusableRetries = 0; }},
     {"shed 0.15 earlier",
      [](MixedLoadOptions &O) {
        O.World.Coordinator.Shedder.LowestLimit -= 0.15;
--- a/emulator/leased_entry.cpp
+++ b/emulator/leased_entry.cpp
@@ -78,7 +78,7 @@
   Instant Now = this->World.now();
   this->Coordinator->noteBehind(this->lastBehind(), Now);
   this->Coordinator->onMessage(From, Message, Now);
-  this->Coordinator->placeDue(Now);
+  this->Coordinator->placeScheduled(Now);
 }
 
 void LeasedEntry::send(const PeerRef &To, peer::Message Message) {
--- a/entry/lease_coordinator.cpp
+++ b/entry/lease_coordinator.cpp
@@ -7,9 +7,9 @@
 LeaseCoordinator::LeaseCoordinator(const CoordinatorOptions &Options,
                                    PeerSink &Sink, LeasedAnswerSink &Answers)
     : Options(Options), Sink(Sink), Answers(Answers),
-      Board(Options.Board, Options.Seed), Shedder(Options.Shedder),
-      Waits(Options.Waiting), Random(Options.Seed), Ran(Options.RunMemory),
-      LastOrder(Options.FirstOrder) {}
+      Workers(Options.Workers, Options.Seed), Shedder(Options.Shedder),
+      Waits(Options.Waiting), Random(Options.Seed),
+      RecentlyRan(Options.RunRetention), LastOrder(Options.FirstOrder) {}
 
 LeaseCoordinator::Job *LeaseCoordinator::find(const std::string &Id) {
   auto Found = this->Jobs.find(Id);
@@ -31,22 +31,22 @@
   if (Member.role() != peer::ROLE_AGENT)
     return;
   bool Lost = Member.state() == peer::MEMBER_LOST;
-  const LeasedWorker *Known = this->Board.find(Member.name());
+  const LeasedWorker *Known = this->Workers.find(Member.name());
   bool Same = Known != nullptr && Known->Incarnation == Member.incarnation() &&
               Known->State == Member.state();
-  bool Replaced = this->Board.update(Member, Now.Steady);
+  bool Replaced = this->Workers.update(Member, Now.Steady);
   if (Same)
     return;
   this->Log.decision("member",
                      {{"agent", Member.name()},
                       {"incarnation", Member.incarnation()},
                       {"state", peer::MemberState_Name(Member.state())},
-                      {"used", this->Board.find(Member.name())->Alive},
+                      {"used", this->Workers.find(Member.name())->Alive},
                       {"table_version", Member.version()}});
-  bool Gone = Lost && !this->Board.find(Member.name())->Alive;
+  bool Gone = Lost && !this->Workers.find(Member.name())->Alive;
   if (Gone)
-    this->loseTasks(Member.name(), /*OnlyEarlierLives=*/false,
-                    "control lost it", Now);
+    this->giveUpAgentTasks(Member.name(), /*OnlyOldLives=*/false,
+                           "control lost it", Now);
   else if (Replaced)
     this->onRestarted(Member.name(), Now);
 }
@@ -68,10 +68,10 @@
 
 void LeaseCoordinator::onLoad(const std::string &Agent,
                               const peer::WorkerLoad &Load, Instant Now) {
-  Contact &Line = this->Contacts[Agent];
-  Line.AskedAt = TimePoint::max();
-  Line.SentAt = TimePoint::max();
-  if (this->Board.hear(Agent, Load, Now.Steady))
+  Contact &AgentContact = this->Contacts[Agent];
+  AgentContact.UnansweredSince = TimePoint::max();
+  AgentContact.FirstDispatchAt = TimePoint::max();
+  if (this->Workers.hear(Agent, Load, Now.Steady))
     this->onRestarted(Agent, Now);
   this->onCrashes(Agent, Load, Now);
 }
@@ -86,7 +86,7 @@
         continue;
       std::string Why = this->Crashes.describeGivenUp(Id);
       if (Why.empty()) {
-        this->placeSoon(*Target);
+        this->schedulePlacement(*Target);
         continue;
       }
       ++this->Counters.JobsCrashing;
@@ -101,28 +101,28 @@
   Job *Target = this->find(Update.job());
   if (Target == nullptr || Update.index() >= Target->Tasks.size())
     return;
-  Task &Which = Target->Tasks[Update.index()];
-  bool Current = Which.Phase == TaskPhase::Sent && Which.Agent == Agent &&
-                 Which.Order == Update.order();
+  Task &JobTask = Target->Tasks[Update.index()];
+  bool Current = JobTask.Phase == TaskPhase::Sent && JobTask.Agent == Agent &&
+                 JobTask.Order == Update.order();
   if (!Current)
     return;
   switch (Update.event()) {
   case peer::LEASED_DONE:
-    this->onRunDone(*Target, Agent, Update);
-    this->settle(*Target, Which, TaskPhase::Done);
+    this->onTaskDone(*Target, Agent, Update);
+    this->settle(*Target, JobTask, TaskPhase::Done);
     break;
   case peer::LEASED_NOT_STARTED:
     // It is lost with the life that it was sent to.
-    if (!isProof(Which, Update))
+    if (!provesNotStarted(JobTask, Update))
       return;
-    this->onNotStarted(*Target, Which, Agent, Update, Now);
+    this->onNotStarted(*Target, JobTask, Agent, Update, Now);
     break;
   case peer::LEASED_FAILED:
     Target->MayHaveRun = true;
-    this->onRunFailed(*Target, Which, Agent, Update, Now);
+    this->onTaskFailed(*Target, JobTask, Agent, Update, Now);
     break;
   case peer::LEASED_ENDED_EARLY:
-    this->onEndedEarly(*Target, Which, Agent, Update, Now);
+    this->onEndedEarly(*Target, JobTask, Agent, Update, Now);
     break;
   default:
     return;
@@ -135,39 +135,39 @@
   this->forgetIfSettled(Update.job(), Now);
 }
 
-void LeaseCoordinator::onRunDone(Job &Target, const std::string &Agent,
-                                 const peer::LeasedUpdate &Update) {
+void LeaseCoordinator::onTaskDone(Job &Target, const std::string &Agent,
+                                  const peer::LeasedUpdate &Update) {
   auto Ran = std::chrono::ceil<std::chrono::milliseconds>(
       std::chrono::microseconds(Update.service_us()));
   Target.MayHaveRun = true;
   Target.LongestDone = std::max(Target.LongestDone, Ran);
   ++Target.DoneCount;
-  this->Board.onSuccess(Agent, Ran);
+  this->Workers.onSuccess(Agent, Ran);
 }
 
-bool LeaseCoordinator::isProof(const Task &Which,
-                               const peer::LeasedUpdate &Update) {
-  bool SameLife = Update.load().incarnation() == Which.Incarnation;
-  return SameLife || !Which.Repeated;
+bool LeaseCoordinator::provesNotStarted(const Task &JobTask,
+                                        const peer::LeasedUpdate &Update) {
+  bool SameLife = Update.load().incarnation() == JobTask.Incarnation;
+  return SameLife || !JobTask.Resent;
 }
 
-void LeaseCoordinator::onNotStarted(Job &Target, Task &Which,
+void LeaseCoordinator::onNotStarted(Job &Target, Task &JobTask,
                                     const std::string &Agent,
                                     const peer::LeasedUpdate &Update,
                                     Instant Now) {
   ++this->Counters.TasksRefused;
   bool RunsThere = Update.refusal() == peer::REFUSAL_OTHER_OWNER;
   Target.MayHaveRun = Target.MayHaveRun || RunsThere;
-  this->settle(Target, Which, TaskPhase::Unplaced);
+  this->settle(Target, JobTask, TaskPhase::Unplaced);
   this->Log.decision("task_not_started",
                      {{"job", Target.Request.Id},
                       {"task", Update.index()},
                       {"agent", Agent},
                       {"attempt", Update.attempt()},
                       {"order", Update.order()},
-                      {"sent_to_life", Which.Incarnation},
+                      {"sent_to_life", JobTask.Incarnation},
                       {"refused_by_life", Update.load().incarnation()},
-                      {"repeated", Which.Repeated},
+                      {"repeated", JobTask.Resent},
                       {"refusal", peer::LeasedRefusal_Name(Update.refusal())},
                       {"reason", Update.reason()}});
   if (Target.Phase != JobPhase::Running)
@@ -191,51 +191,51 @@
   }
   bool WorkerAtFault = Update.refusal() == peer::REFUSAL_WORKER ||
                        Update.refusal() == peer::REFUSAL_NO_WORKER;
-  if (WorkerAtFault && this->Board.onFailure(Agent, Now.Steady))
+  if (WorkerAtFault && this->Workers.onFailure(Agent, Now.Steady))
     ++this->Counters.Ejections;
   // Neither says anything against the agent, which has just sent a new stamp
   // and its present load.
   bool MayComeBack = Update.refusal() == peer::REFUSAL_STALE ||
                      Update.refusal() == peer::REFUSAL_BUSY;
   if (!MayComeBack)
-    Which.Avoid.insert(Agent);
-  this->placeSoon(Target);
+    JobTask.Avoid.insert(Agent);
+  this->schedulePlacement(Target);
 }
 
-void LeaseCoordinator::placeSoon(Job &Target) {
-  this->ToPlace.insert(Target.Request.Id);
+void LeaseCoordinator::schedulePlacement(Job &Target) {
+  this->JobsToPlace.insert(Target.Request.Id);
 }
 
-void LeaseCoordinator::placeDue(Instant Now) {
+void LeaseCoordinator::placeScheduled(Instant Now) {
   std::set<std::string> Due;
-  std::swap(Due, this->ToPlace);
+  std::swap(Due, this->JobsToPlace);
   for (const std::string &Id : Due) {
     Job *Target = this->find(Id);
     if (Target == nullptr)
       continue;
     if (Target->Phase == JobPhase::Running) {
-      ++Target->Bounces;
+      ++Target->PlacementRetries;
       this->place(*Target, Now);
     }
     this->forgetIfSettled(Id, Now);
   }
 }
 
-void LeaseCoordinator::onEndedEarly(Job &Target, Task &Which,
+void LeaseCoordinator::onEndedEarly(Job &Target, Task &JobTask,
                                     const std::string &Agent,
                                     const peer::LeasedUpdate &Update,
                                     Instant Now) {
   Target.MayHaveRun = true;
   if (Update.worker_lost())
     this->Crashes.noteLost(Target.Request.Id, Update.index(), Agent,
-                           Which.Incarnation, Now.Steady);
-  this->settle(Target, Which, TaskPhase::Unplaced);
+                           JobTask.Incarnation, Now.Steady);
+  this->settle(Target, JobTask, TaskPhase::Unplaced);
   // It looks the emptiest, so without this the task would go there again.
   bool WorkerAtFault =
-      Which.Stalled || Update.refusal() == peer::REFUSAL_WORKER;
+      JobTask.Stalled || Update.refusal() == peer::REFUSAL_WORKER;
   if (WorkerAtFault) {
-    Which.Avoid.insert(Agent);
-    if (this->Board.onFailure(Agent, Now.Steady))
+    JobTask.Avoid.insert(Agent);
+    if (this->Workers.onFailure(Agent, Now.Steady))
       ++this->Counters.Ejections;
   }
   this->Log.decision("task_ended_early", {{"job", Target.Request.Id},
@@ -246,68 +246,68 @@
                                           {"worker_lost", Update.worker_lost()},
                                           {"worker_at_fault", WorkerAtFault}});
   if (Target.Phase == JobPhase::Running)
-    this->placeSoon(Target);
+    this->schedulePlacement(Target);
 }
 
-void LeaseCoordinator::onRunFailed(Job &Target, Task &Which,
-                                   const std::string &Agent,
-                                   const peer::LeasedUpdate &Update,
-                                   Instant Now) {
-  ++Which.Failures;
-  bool Ejected = this->Board.onFailure(Agent, Now.Steady);
+void LeaseCoordinator::onTaskFailed(Job &Target, Task &JobTask,
+                                    const std::string &Agent,
+                                    const peer::LeasedUpdate &Update,
+                                    Instant Now) {
+  ++JobTask.Failures;
+  bool Ejected = this->Workers.onFailure(Agent, Now.Steady);
   if (Ejected)
     ++this->Counters.Ejections;
-  this->settle(Target, Which, TaskPhase::Unplaced);
+  this->settle(Target, JobTask, TaskPhase::Unplaced);
   this->Log.decision("task_failed", {{"job", Target.Request.Id},
                                      {"task", Update.index()},
                                      {"agent", Agent},
-                                     {"failures", Which.Failures},
+                                     {"failures", JobTask.Failures},
                                      {"allowed", Target.Request.MaxAttempts},
                                      {"agent_ejected", Ejected}});
   if (Target.Phase != JobPhase::Running)
     return;
-  if (Which.Failures >= Target.Request.MaxAttempts) {
+  if (JobTask.Failures >= Target.Request.MaxAttempts) {
     this->giveUp(Target, {LeasedEnd::Failed, "run", Agent, Update.reason(), {}},
                  Now);
     return;
   }
   // Another worker, if there is one.
-  Which.Avoid = {Agent};
-  if (!this->Board.hasChoice(Target.Request, Which.Avoid, Now.Steady))
-    Which.Avoid.clear();
-  this->placeSoon(Target);
+  JobTask.Avoid = {Agent};
+  if (!this->Workers.hasChoice(Target.Request, JobTask.Avoid, Now.Steady))
+    JobTask.Avoid.clear();
+  this->schedulePlacement(Target);
 }
 
-void LeaseCoordinator::settle(Job &Target, Task &Which, TaskPhase Next) {
-  this->Board.onSettled(Which.Agent, Target.Request.Needs);
-  this->Contacts[Which.Agent].Wanted.erase(Which.Order);
-  --Target.OutCount;
-  Which.Phase = Next;
+void LeaseCoordinator::settle(Job &Target, Task &JobTask, TaskPhase Next) {
+  this->Workers.onSettled(JobTask.Agent, Target.Request.Needs);
+  this->Contacts[JobTask.Agent].ActiveOrders.erase(JobTask.Order);
+  --Target.OutstandingCount;
+  JobTask.Phase = Next;
 }
 
 // ---- Jobs end ----
 
 void LeaseCoordinator::giveUp(Job &Target, LeasedAnswer Answer, Instant Now) {
   Target.Phase = JobPhase::GivingUp;
-  Target.Pending = std::move(Answer);
-  Target.GiveUpAt = Now.Steady + this->Options.ProofWait;
+  Target.PendingAnswer = std::move(Answer);
+  Target.GiveUpAt = Now.Steady + this->Options.ProofTimeout;
   this->stopTasks(Target);
   // A declared end needs no proof of what did not run.
-  if (Target.Pending.End == LeasedEnd::Failed || Target.MayHaveRun)
+  if (Target.PendingAnswer.End == LeasedEnd::Failed || Target.MayHaveRun)
     Target.GiveUpAt = Now.Steady;
   this->finishIfProven(Target, Now);
 }
 
 void LeaseCoordinator::stopTasks(Job &Target) {
   std::set<std::string> Agents;
-  for (const Task &Which : Target.Tasks) {
-    if (Which.Phase != TaskPhase::Sent)
+  for (const Task &JobTask : Target.Tasks) {
+    if (JobTask.Phase != TaskPhase::Sent)
       continue;
-    Agents.insert(Which.Agent);
-    this->Contacts[Which.Agent].Wanted.erase(Which.Order);
+    Agents.insert(JobTask.Agent);
+    this->Contacts[JobTask.Agent].ActiveOrders.erase(JobTask.Order);
   }
   for (const std::string &Agent : Agents)
-    this->sendStop(Target.Request.Id, *this->Board.find(Agent), {});
+    this->sendStop(Target.Request.Id, *this->Workers.find(Agent), {});
 }
 
 void LeaseCoordinator::sendStop(const std::string &Id,
@@ -324,11 +324,11 @@
 void LeaseCoordinator::finishIfProven(Job &Target, Instant Now) {
   if (Target.Phase != JobPhase::GivingUp)
     return;
-  bool Over = Target.OutCount == 0 || Now.Steady >= Target.GiveUpAt;
+  bool Over = Target.OutstandingCount == 0 || Now.Steady >= Target.GiveUpAt;
   if (!Over)
     return;
-  LeasedAnswer Answer = Target.Pending;
-  bool NothingRan = Target.OutCount == 0 && !Target.MayHaveRun;
+  LeasedAnswer Answer = Target.PendingAnswer;
+  bool NothingRan = Target.OutstandingCount == 0 && !Target.MayHaveRun;
   if (Answer.End != LeasedEnd::Failed)
     Answer.End = NothingRan ? LeasedEnd::NotRun : LeasedEnd::Unknown;
   if (Answer.End == LeasedEnd::NotRun && Answer.RetryAfter.count() == 0)
@@ -359,17 +359,18 @@
                       {"step", Answer.Step},
                       {"peer", Answer.Peer},
                       {"reason", Answer.Reason},
-                      {"took_ms", millisBetween(Target.Taken, Now.Steady)},
+                      {"took_ms", millisBetween(Target.AcceptedAt, Now.Steady)},
                       {"objective_ms", Target.Request.Objective.count()},
                       {"estimate_ms", Target.Request.Estimate.count()},
                       {"may_have_run", Target.MayHaveRun},
-                      {"placements_out", Target.OutCount},
+                      {"placements_out", Target.OutstandingCount},
                       {"tasks", Target.Tasks.size()},
                       {"done", Target.DoneCount}});
   this->Metrics.onEnded(Target.Request.Route, Answer.End,
-                        Now.Steady - Target.Taken, Target.Request.Objective);
+                        Now.Steady - Target.AcceptedAt,
+                        Target.Request.Objective);
   std::vector<Caller> Callers = std::move(Target.Callers);
-  this->Waiting -= Callers.size();
+  this->WaitingCallers -= Callers.size();
   for (const Caller &Told : Callers)
     this->Answers.onLeasedAnswer(Told.Ticket, Answer);
 }
@@ -379,11 +380,12 @@
   if (Found == this->Jobs.end())
     return;
   const Job &Known = *Found->second;
-  if (Known.Phase != JobPhase::Answered || Known.OutCount > 0)
+  if (Known.Phase != JobPhase::Answered || Known.OutstandingCount > 0)
     return;
   if (Known.MayHaveRun)
-    this->Ran.add(Id, Now.Steady);
-  std::optional<Job::Resubmission> Next = std::move(Found->second->Next);
+    this->RecentlyRan.add(Id, Now.Steady);
+  std::optional<Job::Resubmission> Next =
+      std::move(Found->second->NextSubmission);
   this->Jobs.erase(Found);
   if (Next)
     this->begin(std::move(Next->Request), std::move(Next->Callers), Now);
--- a/entry/lease_coordinator_intake.cpp
+++ b/entry/lease_coordinator_intake.cpp
@@ -18,17 +18,17 @@
                               Instant Now) {
   if (Job *Known = this->find(Request.Id)) {
     if (Known->Phase != JobPhase::Running) {
-      this->awaitEnd(*Known, std::move(Request), Waiter, Now);
+      this->queueResubmission(*Known, std::move(Request), Waiter, Now);
       return;
     }
     Known->Callers.push_back({Waiter, Now.Steady + Request.Deadline});
-    ++this->Waiting;
+    ++this->WaitingCallers;
     Known->GiveUpAt = lastDeadline(Known->Callers);
     return;
   }
-  if (this->shed(Request, Waiter, Now))
+  if (this->shedIfOverloaded(Request, Waiter, Now))
     return;
-  ++this->Waiting;
+  ++this->WaitingCallers;
   TimePoint Until = Now.Steady + Request.Deadline;
   this->begin(std::move(Request), {{Waiter, Until}}, Now);
 }
@@ -42,14 +42,14 @@
 
 void LeaseCoordinator::begin(LeasedJobRequest Request,
                              std::vector<Caller> Callers, Instant Now) {
-  if (this->refuseGivenUp(Request, Callers))
+  if (this->rejectCrashingJob(Request, Callers))
     return;
   auto New = std::make_unique<Job>();
   New->Tasks.resize(Request.TaskCount);
-  New->Taken = Now.Steady;
+  New->AcceptedAt = Now.Steady;
   New->GiveUpAt = lastDeadline(Callers);
   // An earlier hand-in's runs are runs of the job.
-  New->MayHaveRun = this->Ran.contains(Request.Id);
+  New->MayHaveRun = this->RecentlyRan.contains(Request.Id);
   New->Request = std::move(Request);
   New->Callers = std::move(Callers);
   Job &Target = *New;
@@ -59,8 +59,8 @@
   this->forgetIfSettled(Id, Now);
 }
 
-bool LeaseCoordinator::refuseGivenUp(const LeasedJobRequest &Request,
-                                     const std::vector<Caller> &Callers) {
+bool LeaseCoordinator::rejectCrashingJob(const LeasedJobRequest &Request,
+                                         const std::vector<Caller> &Callers) {
   std::string Why = this->Crashes.describeGivenUp(Request.Id);
   if (Why.empty())
     return false;
@@ -69,49 +69,50 @@
       {{"job", Request.Id}, {"route", Request.Route}, {"reason", Why}});
   ++this->Counters.JobsCrashing;
   ++this->Counters.Failed;
-  this->Waiting -= Callers.size();
+  this->WaitingCallers -= Callers.size();
   for (const Caller &Told : Callers)
     this->Answers.onLeasedAnswer(Told.Ticket,
                                  {LeasedEnd::Failed, "submit", "", Why, {}});
   return true;
 }
 
-void LeaseCoordinator::awaitEnd(Job &Known, LeasedJobRequest Request,
-                                LeaseTicket Waiter, Instant Now) {
+void LeaseCoordinator::queueResubmission(Job &Known, LeasedJobRequest Request,
+                                         LeaseTicket Waiter, Instant Now) {
   TimePoint Until = Now.Steady + Request.Deadline;
-  if (!Known.Next)
-    Known.Next = {std::move(Request), {}};
-  this->Log.decision("resubmission_waits",
-                     {{"job", Known.Request.Id}, {"out", Known.OutCount}});
-  Known.Next->Callers.push_back({Waiter, Until});
-  ++this->Waiting;
+  if (!Known.NextSubmission)
+    Known.NextSubmission = {std::move(Request), {}};
+  this->Log.decision("resubmission_waits", {{"job", Known.Request.Id},
+                                            {"out", Known.OutstandingCount}});
+  Known.NextSubmission->Callers.push_back({Waiter, Until});
+  ++this->WaitingCallers;
 }
 
 void LeaseCoordinator::dropResubmission(Job &Known, const std::string &Reason) {
   // Runs of the earlier submission count as runs of the job.
-  LeasedEnd End = Known.MayHaveRun || Known.OutCount > 0 ? LeasedEnd::Unknown
-                                                         : LeasedEnd::NotRun;
-  std::vector<Caller> Callers = std::move(Known.Next->Callers);
-  Known.Next.reset();
-  this->Waiting -= Callers.size();
+  LeasedEnd End = Known.MayHaveRun || Known.OutstandingCount > 0
+                      ? LeasedEnd::Unknown
+                      : LeasedEnd::NotRun;
+  std::vector<Caller> Callers = std::move(Known.NextSubmission->Callers);
+  Known.NextSubmission.reset();
+  this->WaitingCallers -= Callers.size();
   for (const Caller &Told : Callers)
     this->Answers.onLeasedAnswer(
         Told.Ticket, {End, "submit", "", Reason, this->Options.RetryAfter});
 }
 
-bool LeaseCoordinator::shed(const LeasedJobRequest &Request, LeaseTicket Waiter,
-                            Instant Now) {
+bool LeaseCoordinator::shedIfOverloaded(const LeasedJobRequest &Request,
+                                        LeaseTicket Waiter, Instant Now) {
   double CoreMillis = static_cast<double>(Request.Needs.cpu_milli()) *
                       Request.TaskCount *
                       static_cast<double>(Request.Estimate.count()) / 1000;
   this->Shedder.onOffered(Request.Route, CoreMillis, Now.Steady);
   double Pressure =
-      this->Board.pressure(Request, this->awaitingCpu(), Now.Steady);
+      this->Workers.pressure(Request, this->awaitingCpu(), Now.Steady);
   this->Shedder.onPressure(Pressure, Now.Steady);
   double Limit = this->Shedder.limitFor(Request.Route, Now.Steady);
   if (Pressure < Limit)
     return false;
-  bool MayHaveRun = this->Ran.contains(Request.Id);
+  bool MayHaveRun = this->RecentlyRan.contains(Request.Id);
   ++this->Counters.JobsShed;
   ++(MayHaveRun ? this->Counters.Unknown : this->Counters.NotRun);
   constexpr int Percent = 100;
@@ -131,7 +132,7 @@
 void LeaseCoordinator::cancel(const std::string &Id, const std::string &Reason,
                               Instant Now) {
   Job *Known = this->find(Id);
-  if (Known != nullptr && Known->Next)
+  if (Known != nullptr && Known->NextSubmission)
     this->dropResubmission(*Known, Reason);
   if (Known != nullptr && Known->Phase == JobPhase::Running)
     this->giveUp(*Known, {LeasedEnd::Unknown, "cancel", "", Reason, {}}, Now);
@@ -146,15 +147,15 @@
     this->cancel(Id, Reason, Now);
 }
 
-bool LeaseCoordinator::leaveOthers(std::vector<Caller> &Callers,
-                                   LeaseTicket Waiter,
-                                   const std::string &Reason) {
+bool LeaseCoordinator::removeCaller(std::vector<Caller> &Callers,
+                                    LeaseTicket Waiter,
+                                    const std::string &Reason) {
   if (Callers.size() == 1)
     return false;
   std::erase_if(Callers, [Waiter](const Caller &Known) {
     return Known.Ticket == Waiter;
   });
-  --this->Waiting;
+  --this->WaitingCallers;
   this->Answers.onLeasedAnswer(Waiter,
                                {LeasedEnd::Unknown, "cancel", "", Reason, {}});
   return true;
@@ -168,14 +169,14 @@
   auto IsAmong = [&](const std::vector<Caller> &Callers) {
     return std::ranges::find(Callers, Waiter, &Caller::Ticket) != Callers.end();
   };
-  if (Known->Next && IsAmong(Known->Next->Callers)) {
-    if (!this->leaveOthers(Known->Next->Callers, Waiter, Reason))
+  if (Known->NextSubmission && IsAmong(Known->NextSubmission->Callers)) {
+    if (!this->removeCaller(Known->NextSubmission->Callers, Waiter, Reason))
       this->dropResubmission(*Known, Reason);
     return;
   }
   // A job that is being given up has no more to be stopped.
   bool MayStop = Known->Phase == JobPhase::Running && IsAmong(Known->Callers);
-  if (MayStop && !this->leaveOthers(Known->Callers, Waiter, Reason))
+  if (MayStop && !this->removeCaller(Known->Callers, Waiter, Reason))
     this->cancel(Id, Reason, Now);
   else if (MayStop)
     Known->GiveUpAt = lastDeadline(Known->Callers);
--- a/entry/lease_coordinator_offers.cpp
+++ b/entry/lease_coordinator_offers.cpp
@@ -8,13 +8,13 @@
 
 std::chrono::milliseconds LeaseCoordinator::slackOf(const Job &Target,
                                                     Instant Now) {
-  std::chrono::milliseconds Used(millisBetween(Target.Taken, Now.Steady));
+  std::chrono::milliseconds Used(millisBetween(Target.AcceptedAt, Now.Steady));
   return Target.Request.Objective - Used - Target.Request.Estimate;
 }
 
 std::uint64_t LeaseCoordinator::awaitingCpu() const {
   std::uint64_t CpuMilli = 0;
-  if (!this->Waits.usesOffers(this->Board.workers().size()))
+  if (!this->Waits.usesOffers(this->Workers.workers().size()))
     return CpuMilli;
   for (const auto &[Id, Known] : this->Jobs)
     if (Known->Phase == JobPhase::Running)
@@ -28,15 +28,15 @@
                                    std::uint32_t Tasks, Instant Now) {
   // Agents have been asked for the others before.
   Target.AwaitingOffers += Tasks;
-  std::uint32_t New =
-      Target.AwaitingOffers - std::min(Target.AwaitingOffers, Target.AskedFor);
-  Target.AskedFor += New;
+  std::uint32_t New = Target.AwaitingOffers -
+                      std::min(Target.AwaitingOffers, Target.OffersRequested);
+  Target.OffersRequested += New;
   std::chrono::milliseconds Slack = slackOf(Target, Now);
-  if (Target.OffersUntil == TimePoint::max())
-    Target.OffersUntil = Now.Steady + this->Waits.offersFor(Slack);
+  if (Target.OffersDeadline == TimePoint::max())
+    Target.OffersDeadline = Now.Steady + this->Waits.offersFor(Slack);
   if (New == 0)
     return;
-  for (const LeasedWorker *Worker : this->Board.draw(
+  for (const LeasedWorker *Worker : this->Workers.draw(
            Target.Request, Avoid, this->Waits.workersToAsk(New), Now.Steady)) {
     peer::Message Message;
     peer::LeasedInterest *Interest = Message.mutable_leased_interest();
@@ -46,58 +46,59 @@
     Interest->set_tasks(New);
     Interest->set_start_by_ms(static_cast<std::int32_t>(Slack.count()));
     this->Sink.send(Worker->Agent, std::move(Message));
-    Target.Asked.insert(Worker->Agent.Node);
+    Target.AskedAgents.insert(Worker->Agent.Node);
   }
-  this->Log.decision("offers_awaited", {{"job", Target.Request.Id},
-                                        {"tasks", New},
-                                        {"agents_asked", Target.Asked.size()},
-                                        {"slack_ms", Slack.count()}});
+  this->Log.decision("offers_awaited",
+                     {{"job", Target.Request.Id},
+                      {"tasks", New},
+                      {"agents_asked", Target.AskedAgents.size()},
+                      {"slack_ms", Slack.count()}});
 }
 
 void LeaseCoordinator::withdrawInterest(Job &Target) {
-  for (const std::string &Agent : Target.Asked) {
-    const LeasedWorker *Worker = this->Board.find(Agent);
+  for (const std::string &Agent : Target.AskedAgents) {
+    const LeasedWorker *Worker = this->Workers.find(Agent);
     peer::Message Message;
     peer::LeasedInterest *Interest = Message.mutable_leased_interest();
     Interest->set_job(Target.Request.Id);
     Interest->set_agent_incarnation(Worker->Incarnation);
     this->Sink.send(Worker->Agent, std::move(Message));
   }
-  Target.Asked.clear();
+  Target.AskedAgents.clear();
 }
 
 void LeaseCoordinator::onOffer(const PeerRef &From,
                                const peer::LeasedOffer &Offer, Instant Now) {
   Job *Target = this->find(Offer.job());
-  const LeasedWorker *Worker = this->Board.find(From.Node);
+  const LeasedWorker *Worker = this->Workers.find(From.Node);
   bool Wanted = Target != nullptr && Target->Phase == JobPhase::Running &&
                 Worker != nullptr && Worker->isReachable() &&
                 Worker->Incarnation == Offer.load().incarnation() &&
                 !this->endIfUnwanted(*Target, Now);
   std::map<std::string, peer::LeasedDispatch> Batch;
-  std::uint32_t Taken = 0;
+  std::uint32_t Accepted = 0;
   for (std::uint32_t I = 0; Wanted && I < Target->Tasks.size(); ++I) {
-    const Task &Which = Target->Tasks[I];
-    bool Fits = Which.Phase == TaskPhase::Unplaced &&
-                !Which.Avoid.contains(From.Node) &&
-                Which.Attempt < this->Options.MaxPlacements;
-    if (!Fits || Taken == Offer.tasks())
+    const Task &JobTask = Target->Tasks[I];
+    bool Fits = JobTask.Phase == TaskPhase::Unplaced &&
+                !JobTask.Avoid.contains(From.Node) &&
+                JobTask.Attempt < this->Options.MaxPlacements;
+    if (!Fits || Accepted == Offer.tasks())
       continue;
     this->assign(*Target, I, *Worker, Now, Batch);
-    ++Taken;
+    ++Accepted;
   }
-  if (Taken == 0) {
+  if (Accepted == 0) {
     peer::Message Message;
     Message.mutable_offer_reply()->set_offer(Offer.offer());
     this->Sink.send(From, std::move(Message));
     this->forgetIfSettled(Offer.job(), Now);
     return;
   }
-  Target->AwaitingOffers -= std::min(Target->AwaitingOffers, Taken);
-  Target->AskedFor -= std::min(Target->AskedFor, Taken);
+  Target->AwaitingOffers -= std::min(Target->AwaitingOffers, Accepted);
+  Target->OffersRequested -= std::min(Target->OffersRequested, Accepted);
   // An offer that is not used up tells its agent as much.
-  if (Taken < Offer.tasks())
-    Target->Asked.erase(From.Node);
+  if (Accepted < Offer.tasks())
+    Target->AskedAgents.erase(From.Node);
   if (Target->AwaitingOffers == 0)
     this->withdrawInterest(*Target);
   Batch[From.Node].set_offer(Offer.offer());
--- a/entry/lease_coordinator_placement.cpp
+++ b/entry/lease_coordinator_placement.cpp
@@ -20,7 +20,7 @@
   auto IsThere = [this](const Caller &Known) {
     return this->Answers.hasCaller(Known.Ticket);
   };
-  if (!this->wasBehind(Now) || std::ranges::any_of(Target.Callers, IsThere))
+  if (!this->isCatchingUp(Now) || std::ranges::any_of(Target.Callers, IsThere))
     return false;
   this->giveUp(Target,
                {LeasedEnd::Unknown, "cancel", "", "the caller has gone", {}},
@@ -35,14 +35,14 @@
   std::map<std::set<std::string>, std::vector<std::uint32_t>> Groups;
   bool Allowed = true;
   for (std::uint32_t I = 0; I < Target.Tasks.size(); ++I) {
-    const Task &Which = Target.Tasks[I];
-    if (Which.Phase != TaskPhase::Unplaced)
+    const Task &JobTask = Target.Tasks[I];
+    if (JobTask.Phase != TaskPhase::Unplaced)
       continue;
     // It waits here until it is known whether those workers have crashed.
     if (this->Crashes.verdict(Target.Request.Id, I) == CrashVerdict::Held)
       continue;
-    Groups[Which.Avoid].push_back(I);
-    Allowed = Allowed && Which.Attempt < this->Options.MaxPlacements;
+    Groups[JobTask.Avoid].push_back(I);
+    Allowed = Allowed && JobTask.Attempt < this->Options.MaxPlacements;
   }
   Target.AwaitingOffers = 0;
   std::map<std::string, peer::LeasedDispatch> Batch;
@@ -71,24 +71,26 @@
     for (const Task &Other : Target.Tasks)
       if (Other.Phase == TaskPhase::Sent)
         ++Placed[Other.Agent];
-  bool Awaits = !Target.OffersOver && Target.Request.MaxPerWorker == 0 &&
+  bool Awaits = !Target.OffersTimedOut && Target.Request.MaxPerWorker == 0 &&
                 this->Waits.waitsForOffers(slackOf(Target, Now),
-                                           this->Board.workers().size());
+                                           this->Workers.workers().size());
   // What is known here of the workers' room has been wrong for this job.
-  bool Misled = Awaits && Target.Bounces >= this->Options.MaxBounces;
-  auto Wanted = Misled ? 0U : static_cast<std::uint32_t>(Indexes.size());
+  bool StaleLoads =
+      Awaits && Target.PlacementRetries >= this->Options.MaxRefusableRetries;
+  auto Wanted = StaleLoads ? 0U : static_cast<std::uint32_t>(Indexes.size());
   std::size_t Next = 0;
-  for (const WorkerShare &Share : this->Board.divide(
+  for (const WorkerShare &Share : this->Workers.divide(
            Target.Request, Wanted, Avoid, Placed, Awaits, Now.Steady)) {
     bool MayAskElsewhere =
-        Share.StartsNow && Target.Bounces < this->Options.MaxBounces;
+        Share.StartsNow &&
+        Target.PlacementRetries < this->Options.MaxRefusableRetries;
     Batch[Share.Worker->Agent.Node].set_start_or_refuse(MayAskElsewhere);
     for (std::uint32_t I = 0; I < Share.Tasks; ++I)
       this->assign(Target, Indexes[Next++], *Share.Worker, Now, Batch);
   }
   if (Next == Indexes.size())
     return true;
-  if (!Awaits || !this->Board.hasChoice(Target.Request, Avoid, Now.Steady))
+  if (!Awaits || !this->Workers.hasChoice(Target.Request, Avoid, Now.Steady))
     return false;
   this->awaitOffers(Target, Avoid,
                     static_cast<std::uint32_t>(Indexes.size() - Next), Now);
@@ -98,24 +100,24 @@
 void LeaseCoordinator::assign(
     Job &Target, std::uint32_t Index, const LeasedWorker &Chosen, Instant Now,
     std::map<std::string, peer::LeasedDispatch> &Batch) {
-  Task &Which = Target.Tasks[Index];
-  Which.Phase = TaskPhase::Sent;
-  Which.Agent = Chosen.Agent.Node;
-  Which.Incarnation = Chosen.Incarnation;
-  Which.Stalled = false;
-  Which.AskStalledAt = Now.Steady + this->stallLimit(Target);
-  ++Which.Attempt;
-  Which.Order = ++this->LastOrder;
-  Which.Repeated = false;
-  Which.PlacedAt = Now.Steady;
-  Which.MissingSince = TimePoint::max();
-  ++Target.OutCount;
-  this->Contacts[Which.Agent].Wanted.insert(Which.Order);
-  this->Board.onSent(Which.Agent, Target.Request.Needs);
-  peer::LeasedTask *Order = Batch[Which.Agent].add_tasks();
+  Task &JobTask = Target.Tasks[Index];
+  JobTask.Phase = TaskPhase::Sent;
+  JobTask.Agent = Chosen.Agent.Node;
+  JobTask.Incarnation = Chosen.Incarnation;
+  JobTask.Stalled = false;
+  JobTask.StallCheckAt = Now.Steady + this->stallLimit(Target);
+  ++JobTask.Attempt;
+  JobTask.Order = ++this->LastOrder;
+  JobTask.Resent = false;
+  JobTask.PlacedAt = Now.Steady;
+  JobTask.MissingSince = TimePoint::max();
+  ++Target.OutstandingCount;
+  this->Contacts[JobTask.Agent].ActiveOrders.insert(JobTask.Order);
+  this->Workers.onSent(JobTask.Agent, Target.Request.Needs);
+  peer::LeasedTask *Order = Batch[JobTask.Agent].add_tasks();
   Order->set_index(Index);
-  Order->set_attempt(Which.Attempt);
-  Order->set_order(Which.Order);
+  Order->set_attempt(JobTask.Attempt);
+  Order->set_order(JobTask.Order);
 }
 
 void LeaseCoordinator::dispatch(
@@ -125,7 +127,7 @@
   auto StartBy = slackOf(Target, Now);
   std::chrono::milliseconds GiveUp(millisBetween(Now.Steady, Target.GiveUpAt));
   for (auto &[Agent, Order] : Batch) {
-    LeasedWorker *Worker = this->Board.find(Agent);
+    LeasedWorker *Worker = this->Workers.find(Agent);
     Order.set_job(Request.Id);
     Order.set_agent_incarnation(Worker->Incarnation);
     Order.set_stamp(Worker->stampAt(Now.Steady));
@@ -135,9 +137,10 @@
     Order.set_give_up_ms(static_cast<std::int32_t>(GiveUp.count()));
     Order.set_estimate_ms(static_cast<std::uint32_t>(Request.Estimate.count()));
     // The numbers of its own tasks are the highest so far.
-    Contact &Line = this->Contacts[Agent];
-    auto Earlier = Line.Wanted.lower_bound(Order.tasks(0).order());
-    Order.mutable_renewed()->Add(Line.Wanted.begin(), Earlier);
+    Contact &AgentContact = this->Contacts[Agent];
+    auto Earlier =
+        AgentContact.ActiveOrders.lower_bound(Order.tasks(0).order());
+    Order.mutable_renewed()->Add(AgentContact.ActiveOrders.begin(), Earlier);
     this->Counters.TasksSent += Order.tasks_size();
     this->Log.decision(
         "dispatched",
@@ -152,8 +155,9 @@
     *Message.mutable_leased_dispatch() = std::move(Order);
     this->Sink.send(Worker->Agent, std::move(Message));
     // It renews all leases there.
-    Line.NextRenewal = Now.Steady + this->Options.RenewEvery;
-    Line.SentAt = std::min(Line.SentAt, Now.Steady);
+    AgentContact.NextRenewal = Now.Steady + this->Options.RenewalInterval;
+    AgentContact.FirstDispatchAt =
+        std::min(AgentContact.FirstDispatchAt, Now.Steady);
   }
 }
 
--- a/entry/lease_coordinator_watch.cpp
+++ b/entry/lease_coordinator_watch.cpp
@@ -10,26 +10,26 @@
 
 /// Between two looks for tasks whose crashes may be forgotten; they are kept
 /// many times as long.
-constexpr std::chrono::milliseconds CrashSweepEvery{1000};
+constexpr std::chrono::milliseconds CrashSweepInterval{1000};
 
 } // namespace
 
 // ---- Agents go ----
 
 void LeaseCoordinator::onRestarted(const std::string &Agent, Instant Now) {
-  this->Contacts[Agent].LoseOldAt = Now.Steady + this->Options.RestartGrace;
+  this->Contacts[Agent].DropOldLifeAt = Now.Steady + this->Options.RestartGrace;
 }
 
-bool LeaseCoordinator::wasBehind(Instant Now) const {
+bool LeaseCoordinator::isCatchingUp(Instant Now) const {
   return this->LastBehind != TimePoint::min() &&
-         Now.Steady - this->LastBehind < this->Options.BehindMemory;
+         Now.Steady - this->LastBehind < this->Options.CatchUpPeriod;
 }
 
 void LeaseCoordinator::noteBehind(TimePoint NewLastBehind, Instant Now) {
   this->LastBehind = NewLastBehind;
-  if (!this->wasBehind(Now) || Now.Steady < this->NextCallerLook)
+  if (!this->isCatchingUp(Now) || Now.Steady < this->NextCallerCheck)
     return;
-  this->NextCallerLook = Now.Steady + this->Options.CallerLookEvery;
+  this->NextCallerCheck = Now.Steady + this->Options.CallerCheckInterval;
   std::vector<std::string> Running;
   for (const auto &[Id, Known] : this->Jobs)
     if (Known->Phase == JobPhase::Running)
@@ -40,35 +40,35 @@
 }
 
 void LeaseCoordinator::onUndelivered(const Undelivered &Lost, Instant Now) {
-  LeasedWorker *Worker = this->Board.find(Lost.To.Node);
+  LeasedWorker *Worker = this->Workers.find(Lost.To.Node);
   if (Worker == nullptr || Worker->Silent)
     return;
   // Neither a verdict nor more messages while this process has to catch up;
   // what an agent has not got it will not list.
-  if (this->wasBehind(Now))
+  if (this->isCatchingUp(Now))
     return;
-  Contact &Line = this->Contacts[Lost.To.Node];
+  Contact &AgentContact = this->Contacts[Lost.To.Node];
   // Whatever was under way when a connection broke fails together.
-  bool SameBreak = Lost.SentAt < Line.RepeatedAt;
-  bool HeardSince = Worker->Heard >= Line.RepeatedAt;
+  bool SameBreak = Lost.SentAt < AgentContact.LastResendAt;
+  bool HeardSince = Worker->Heard >= AgentContact.LastResendAt;
   if (SameBreak || HeardSince) {
     if (!SameBreak)
-      Line.RepeatedAt = Now.Steady;
-    this->repeat(*Worker, Lost, Now);
+      AgentContact.LastResendAt = Now.Steady;
+    this->resend(*Worker, Lost, Now);
     return;
   }
-  this->Board.setSilent(Lost.To.Node);
-  this->loseTasks(Lost.To.Node, /*OnlyEarlierLives=*/false,
-                  "messages to it did not arrive, twice", Now);
+  this->Workers.setSilent(Lost.To.Node);
+  this->giveUpAgentTasks(Lost.To.Node, /*OnlyOldLives=*/false,
+                         "messages to it did not arrive, twice", Now);
 }
 
-void LeaseCoordinator::repeat(const LeasedWorker &Worker,
+void LeaseCoordinator::resend(const LeasedWorker &Worker,
                               const Undelivered &Lost, Instant Now) {
   auto Age = std::chrono::duration_cast<std::chrono::milliseconds>(Now.Steady -
                                                                    Lost.SentAt);
   for (const peer::Message &Message : Lost.Envelope->messages()) {
     if (Message.has_leased_dispatch()) {
-      this->repeatDispatch(Worker, Message.leased_dispatch(), Age, Now);
+      this->resendDispatch(Worker, Message.leased_dispatch(), Age, Now);
     } else if (Message.has_leased_stop()) {
       const peer::LeasedStop &Stop = Message.leased_stop();
       const Job *Target = this->find(Stop.job());
@@ -78,10 +78,10 @@
         this->Sink.send(Worker.Agent, Message);
     }
   }
-  this->renewOne(Worker, this->Contacts[Worker.Agent.Node], Now);
+  this->sendRenewal(Worker, this->Contacts[Worker.Agent.Node], Now);
 }
 
-void LeaseCoordinator::repeatDispatch(const LeasedWorker &Worker,
+void LeaseCoordinator::resendDispatch(const LeasedWorker &Worker,
                                       const peer::LeasedDispatch &Lost,
                                       std::chrono::milliseconds Age,
                                       Instant Now) {
@@ -95,12 +95,12 @@
   // Renewals go out beside it, for what is wanted by now.
   Again->clear_renewed();
   for (const peer::LeasedTask &Order : Lost.tasks()) {
-    Task &Which = Target->Tasks[Order.index()];
-    if (Which.Phase != TaskPhase::Sent || Which.Order != Order.order())
+    Task &JobTask = Target->Tasks[Order.index()];
+    if (JobTask.Phase != TaskPhase::Sent || JobTask.Order != Order.order())
       continue;
-    Which.Repeated = true;
+    JobTask.Resent = true;
     // Its new stamp lets it be taken for as long again.
-    Which.PlacedAt = Now.Steady;
+    JobTask.PlacedAt = Now.Steady;
     *Again->add_tasks() = Order;
   }
   if (Again->tasks_size() == 0)
@@ -116,18 +116,20 @@
   this->Sink.send(Worker.Agent, std::move(Message));
 }
 
-void LeaseCoordinator::loseTasks(const std::string &Agent,
-                                 bool OnlyEarlierLives,
-                                 const std::string &Reason, Instant Now) {
+void LeaseCoordinator::giveUpAgentTasks(const std::string &Agent,
+                                        bool OnlyOldLives,
+                                        const std::string &Reason,
+                                        Instant Now) {
   ++this->Counters.AgentsLost;
   // What was asked of it until now is not held against it once it is back.
-  this->Contacts[Agent].AskedAt = TimePoint::max();
-  this->Contacts[Agent].SentAt = TimePoint::max();
-  const LeasedWorker *Worker = this->Board.find(Agent);
-  auto IsLost = [&](const Task &Which) {
-    bool Earlier = Worker == nullptr || Which.Incarnation < Worker->Incarnation;
-    return Which.Phase == TaskPhase::Sent && Which.Agent == Agent &&
-           (Earlier || !OnlyEarlierLives);
+  this->Contacts[Agent].UnansweredSince = TimePoint::max();
+  this->Contacts[Agent].FirstDispatchAt = TimePoint::max();
+  const LeasedWorker *Worker = this->Workers.find(Agent);
+  auto IsLost = [&](const Task &JobTask) {
+    bool Earlier =
+        Worker == nullptr || JobTask.Incarnation < Worker->Incarnation;
+    return JobTask.Phase == TaskPhase::Sent && JobTask.Agent == Agent &&
+           (Earlier || !OnlyOldLives);
   };
   std::vector<std::string> Concerned;
   for (const auto &[Id, Known] : this->Jobs)
@@ -142,12 +144,13 @@
     // What became of its runs is not known. They are no longer named in
     // renewals, and lapse; the agent may still hear that they are to stop.
     std::vector<std::uint64_t> Orders;
-    for (Task &Which : Target.Tasks) {
-      if (!IsLost(Which))
+    for (Task &JobTask : Target.Tasks) {
+      if (!IsLost(JobTask))
         continue;
-      this->Contacts[Agent].Lost[Which.Order] = {Id, Which.PlacedAt};
-      Orders.push_back(Which.Order);
-      this->settle(Target, Which, TaskPhase::Over);
+      this->Contacts[Agent].GivenUpOrders[JobTask.Order] = {Id,
+                                                            JobTask.PlacedAt};
+      Orders.push_back(JobTask.Order);
+      this->settle(Target, JobTask, TaskPhase::Over);
     }
     if (Worker != nullptr)
       this->sendStop(Id, *Worker, Orders);
@@ -161,19 +164,20 @@
 
 // ---- Agents tell what they hold ----
 
-bool LeaseCoordinator::isMissing(Task &Which, bool Held, Instant Now) const {
-  bool MayBeOnItsWay = Now.Steady - Which.PlacedAt <= this->Options.InTransit;
+bool LeaseCoordinator::isMissing(Task &JobTask, bool Held, Instant Now) const {
+  bool MayBeOnItsWay =
+      Now.Steady - JobTask.PlacedAt <= this->Options.MaxTransitTime;
   if (MayBeOnItsWay || Held) {
-    Which.MissingSince = TimePoint::max();
+    JobTask.MissingSince = TimePoint::max();
     return false;
   }
-  Which.MissingSince = std::min(Which.MissingSince, Now.Steady);
-  return Now.Steady - Which.MissingSince >= this->Options.MissingLimit;
+  JobTask.MissingSince = std::min(JobTask.MissingSince, Now.Steady);
+  return Now.Steady - JobTask.MissingSince >= this->Options.MissingTimeout;
 }
 
 void LeaseCoordinator::onHeldOrders(const std::string &Agent,
                                     const peer::WorkerLoad &Load, Instant Now) {
-  const LeasedWorker *Worker = this->Board.find(Agent);
+  const LeasedWorker *Worker = this->Workers.find(Agent);
   // A late answer, or one of another life, says nothing of what is held now.
   bool Newest = Worker != nullptr &&
                 Load.incarnation() == Worker->Incarnation &&
@@ -186,17 +190,18 @@
   std::vector<peer::LeasedUpdate> Lost;
   for (const auto &[Id, Known] : this->Jobs) {
     for (std::uint32_t I = 0; I < Known->Tasks.size(); ++I) {
-      Task &Which = Known->Tasks[I];
-      bool There = Which.Phase == TaskPhase::Sent && Which.Agent == Agent;
-      if (!There || !this->isMissing(Which, Held.contains(Which.Order), Now))
+      Task &JobTask = Known->Tasks[I];
+      bool There = JobTask.Phase == TaskPhase::Sent && JobTask.Agent == Agent;
+      if (!There ||
+          !this->isMissing(JobTask, Held.contains(JobTask.Order), Now))
         continue;
       // It has not stood still there: there is nothing of it.
-      Which.Stalled = false;
+      JobTask.Stalled = false;
       peer::LeasedUpdate &End = Lost.emplace_back();
       End.set_job(Id);
       End.set_index(I);
-      End.set_attempt(Which.Attempt);
-      End.set_order(Which.Order);
+      End.set_attempt(JobTask.Attempt);
+      End.set_order(JobTask.Order);
       End.set_event(peer::LEASED_ENDED_EARLY);
       End.set_reason("its agent no longer lists it");
     }
@@ -212,15 +217,16 @@
   std::map<std::string, std::vector<std::uint64_t>> GivenUp;
   // Its stop may have been lost.
   for (const auto &[Id, Known] : this->Jobs)
-    for (const Task &Which : Known->Tasks)
-      if (Known->Phase != JobPhase::Running && Which.Phase == TaskPhase::Sent &&
-          Which.Agent == Agent && Held.contains(Which.Order))
-        GivenUp[Id].push_back(Which.Order);
-  std::erase_if(this->Contacts[Agent].Lost, [&](const auto &Item) {
+    for (const Task &JobTask : Known->Tasks)
+      if (Known->Phase != JobPhase::Running &&
+          JobTask.Phase == TaskPhase::Sent && JobTask.Agent == Agent &&
+          Held.contains(JobTask.Order))
+        GivenUp[Id].push_back(JobTask.Order);
+  std::erase_if(this->Contacts[Agent].GivenUpOrders, [&](const auto &Item) {
     const auto &[Order, Lost] = Item;
     if (Held.contains(Order))
       GivenUp[Lost.Job].push_back(Order);
-    bool MayArrive = Now.Steady - Lost.PlacedAt <= this->Options.InTransit;
+    bool MayArrive = Now.Steady - Lost.PlacedAt <= this->Options.MaxTransitTime;
     return !Held.contains(Order) && !MayArrive;
   });
   for (const auto &[Id, Orders] : GivenUp) {
@@ -235,22 +241,23 @@
 
 void LeaseCoordinator::tick(Instant Now, TimePoint NewLastBehind) {
   this->noteBehind(NewLastBehind, Now);
-  this->placeDue(Now);
-  this->renew(Now);
+  this->placeScheduled(Now);
+  this->renewLeases(Now);
   this->tickJobs(Now);
   if (Now.Steady < this->NextCrashSweep)
     return;
-  this->NextCrashSweep = Now.Steady + CrashSweepEvery;
+  this->NextCrashSweep = Now.Steady + CrashSweepInterval;
   this->Crashes.sweep(Now.Steady);
 }
 
-bool LeaseCoordinator::isUnanswered(const Contact &Line,
+bool LeaseCoordinator::isUnanswered(const Contact &AgentContact,
                                     std::chrono::milliseconds Limit,
                                     Instant Now) {
-  return Line.AskedAt != TimePoint::max() && Now.Steady - Line.AskedAt > Limit;
+  return AgentContact.UnansweredSince != TimePoint::max() &&
+         Now.Steady - AgentContact.UnansweredSince > Limit;
 }
 
-void LeaseCoordinator::renew(Instant Now) {
+void LeaseCoordinator::renewLeases(Instant Now) {
   std::vector<std::string> Silent;
   std::vector<std::string> Restarted;
   std::vector<std::string> Lost;
@@ -258,11 +265,11 @@
   // Both are ordered by name. A look-up of each agent with each tick was one of
   // the entry's largest single costs (perf, 66 agents).
   auto Next = this->Contacts.begin();
-  for (const auto &[Agent, Worker] : this->Board.workers()) {
+  for (const auto &[Agent, Worker] : this->Workers.workers()) {
     // One that leaves lets its runs end, under leases that are renewed.
     if (!Worker.Alive && Worker.OwnTasks == 0)
       continue;
-    if (this->Board.isLost(Worker, Now.Steady)) {
+    if (this->Workers.isLost(Worker, Now.Steady)) {
       Lost.push_back(Agent);
       continue;
     }
@@ -270,80 +277,89 @@
       ++Next;
     if (Next == this->Contacts.end() || Next->first != Agent)
       Next = this->Contacts.try_emplace(Next, Agent);
-    Contact &Line = Next->second;
-    if (Now.Steady >= Line.LoseOldAt) {
-      Line.LoseOldAt = TimePoint::max();
+    Contact &AgentContact = Next->second;
+    if (Now.Steady >= AgentContact.DropOldLifeAt) {
+      AgentContact.DropOldLifeAt = TimePoint::max();
       Restarted.push_back(Agent);
     }
     // The answer may lie here unread: the question is asked again.
-    if (Line.AskedAt <= this->LastBehind) {
-      Line.AskedAt = TimePoint::max();
-      Line.SentAt = TimePoint::max();
+    if (AgentContact.UnansweredSince <= this->LastBehind) {
+      AgentContact.UnansweredSince = TimePoint::max();
+      AgentContact.FirstDispatchAt = TimePoint::max();
     }
-    if (isUnanswered(Line, this->Options.DoubtAfter, Now))
-      this->Board.setDoubtful(Agent);
+    if (isUnanswered(AgentContact, this->Options.SuspectTimeout, Now))
+      this->Workers.setDoubtful(Agent);
     bool Idle = Worker.OwnTasks == 0;
-    if (!Idle && isUnanswered(Line, this->Options.SilenceLimit, Now))
+    if (!Idle &&
+        isUnanswered(AgentContact, this->Options.AgentLossTimeout, Now))
       Silent.push_back(Agent);
-    else if (!Idle && isUnanswered(Line, this->Options.ReconnectAfter, Now))
+    else if (!Idle &&
+             isUnanswered(AgentContact, this->Options.ReconnectTimeout, Now))
       ToReconnect.push_back(Worker.Agent);
-    if (this->isRenewalDue(Worker, Line, Now))
-      this->renewOne(Worker, Line, Now);
+    if (this->isRenewalDue(Worker, AgentContact, Now))
+      this->sendRenewal(Worker, AgentContact, Now);
   }
   // What may not have arrived is reported, and sent again.
   for (const PeerRef &Agent : ToReconnect)
     this->Sink.reconnect(Agent);
   for (const std::string &Agent : Restarted)
-    this->loseTasks(Agent, /*OnlyEarlierLives=*/true, "it has restarted", Now);
+    this->giveUpAgentTasks(Agent, /*OnlyOldLives=*/true, "it has restarted",
+                           Now);
   for (const std::string &Agent : Lost) {
-    this->Board.setLost(Agent);
-    this->loseTasks(Agent, /*OnlyEarlierLives=*/false,
-                    "control lost it and it is silent here", Now);
+    this->Workers.setLost(Agent);
+    this->giveUpAgentTasks(Agent, /*OnlyOldLives=*/false,
+                           "control lost it and it is silent here", Now);
   }
   for (const std::string &Agent : Silent) {
-    this->Board.setSilent(Agent);
-    this->loseTasks(Agent, /*OnlyEarlierLives=*/false,
-                    "it left renewals unanswered", Now);
+    this->Workers.setSilent(Agent);
+    this->giveUpAgentTasks(Agent, /*OnlyOldLives=*/false,
+                           "it left renewals unanswered", Now);
   }
 }
 
 bool LeaseCoordinator::isRenewalDue(const LeasedWorker &Worker,
-                                    const Contact &Line, Instant Now) const {
+                                    const Contact &AgentContact,
+                                    Instant Now) const {
   if (Worker.OwnTasks > 0) {
-    bool Unheard = Line.AskedAt == TimePoint::max() &&
-                   Line.SentAt != TimePoint::max() &&
-                   Now.Steady - Line.SentAt >= this->Options.AskAfter;
-    return Unheard || Now.Steady >= Line.NextRenewal;
+    bool Unheard = AgentContact.UnansweredSince == TimePoint::max() &&
+                   AgentContact.FirstDispatchAt != TimePoint::max() &&
+                   Now.Steady - AgentContact.FirstDispatchAt >=
+                       this->Options.DispatchProbeDelay;
+    return Unheard || Now.Steady >= AgentContact.NextRenewal;
   }
   // An idle agent is asked only if nothing has been heard of it otherwise.
   std::chrono::milliseconds Pause = Worker.Silent || Worker.Doubtful
-                                        ? this->Options.SilentEvery
-                                        : Line.RefreshAfter;
-  return Now.Steady - std::max(Line.AskedToList, Worker.Heard) >= Pause;
+                                        ? this->Options.UnreachableProbeInterval
+                                        : AgentContact.IdleProbeDelay;
+  return Now.Steady - std::max(AgentContact.LastRenewalAt, Worker.Heard) >=
+         Pause;
 }
 
-std::chrono::milliseconds LeaseCoordinator::drawRefresh() {
-  std::uniform_real_distribution<double> Share(this->Options.RefreshSpread, 1);
+std::chrono::milliseconds LeaseCoordinator::drawIdleProbeDelay() {
+  std::uniform_real_distribution<double> Share(this->Options.MinIdleProbeShare,
+                                               1);
   return std::chrono::duration_cast<std::chrono::milliseconds>(
-      this->Options.RefreshEvery * Share(this->Random));
+      this->Options.IdleProbeInterval * Share(this->Random));
 }
 
-void LeaseCoordinator::renewOne(const LeasedWorker &Worker, Contact &Line,
-                                Instant Now) {
-  Line.RefreshAfter = this->drawRefresh();
+void LeaseCoordinator::sendRenewal(const LeasedWorker &Worker,
+                                   Contact &AgentContact, Instant Now) {
+  AgentContact.IdleProbeDelay = this->drawIdleProbeDelay();
   bool Idle = Worker.OwnTasks == 0;
-  Line.NextRenewal = Now.Steady + this->Options.RenewEvery;
-  Line.AskedToList = Now.Steady;
+  AgentContact.NextRenewal = Now.Steady + this->Options.RenewalInterval;
+  AgentContact.LastRenewalAt = Now.Steady;
   // Only an agent that holds our tasks can lose any by its silence.
   if (Idle)
-    Line.AskedAt = TimePoint::max();
+    AgentContact.UnansweredSince = TimePoint::max();
   else
-    Line.AskedAt = std::min(Line.AskedAt, Now.Steady);
+    AgentContact.UnansweredSince =
+        std::min(AgentContact.UnansweredSince, Now.Steady);
   peer::Message Message;
   peer::LeaseRenewal *Renewal = Message.mutable_lease_renewal();
   Renewal->set_agent_incarnation(Worker.Incarnation);
   Renewal->set_stamp(Worker.stampAt(Now.Steady));
-  Renewal->mutable_orders()->Add(Line.Wanted.begin(), Line.Wanted.end());
+  Renewal->mutable_orders()->Add(AgentContact.ActiveOrders.begin(),
+                                 AgentContact.ActiveOrders.end());
   this->Sink.send(Worker.Agent, std::move(Message));
 }
 
@@ -362,20 +378,20 @@
   std::chrono::milliseconds Limit = this->stallLimit(Target);
   bool OneDone = Target.LongestDone.count() > 0;
   for (std::uint32_t I = 0; I < Target.Tasks.size(); ++I) {
-    Task &Which = Target.Tasks[I];
-    if (Which.Phase != TaskPhase::Sent)
+    Task &JobTask = Target.Tasks[I];
+    if (JobTask.Phase != TaskPhase::Sent)
       continue;
-    this->askToList(Which, Now);
+    this->requestHeldOrders(JobTask, Now);
     // A sibling that is done tells more than what was declared.
-    if (OneDone && !Which.Stalled)
-      Which.AskStalledAt = std::min(Which.AskStalledAt, Now.Steady + Limit);
-    if (Now.Steady < Which.AskStalledAt)
+    if (OneDone && !JobTask.Stalled)
+      JobTask.StallCheckAt = std::min(JobTask.StallCheckAt, Now.Steady + Limit);
+    if (Now.Steady < JobTask.StallCheckAt)
       continue;
-    LeasedWorker *Worker = this->Board.find(Which.Agent);
+    LeasedWorker *Worker = this->Workers.find(JobTask.Agent);
     if (Worker == nullptr)
       continue;
-    Which.Stalled = true;
-    Which.AskStalledAt = Now.Steady + this->Options.StallRetry;
+    JobTask.Stalled = true;
+    JobTask.StallCheckAt = Now.Steady + this->Options.StallRetryInterval;
     peer::Message Message;
     peer::LeasedStop *Stop = Message.mutable_leased_stop();
     Stop->set_job(Target.Request.Id);
@@ -386,12 +402,13 @@
   }
 }
 
-void LeaseCoordinator::askToList(const Task &Which, Instant Now) {
-  if (Now.Steady - Which.PlacedAt <= this->Options.InTransit)
+void LeaseCoordinator::requestHeldOrders(const Task &JobTask, Instant Now) {
+  if (Now.Steady - JobTask.PlacedAt <= this->Options.MaxTransitTime)
     return;
-  Contact &Line = this->Contacts[Which.Agent];
-  Line.NextRenewal =
-      std::min(Line.NextRenewal, Line.AskedToList + this->Options.ListEvery);
+  Contact &AgentContact = this->Contacts[JobTask.Agent];
+  AgentContact.NextRenewal =
+      std::min(AgentContact.NextRenewal,
+               AgentContact.LastRenewalAt + this->Options.HeldListInterval);
 }
 
 void LeaseCoordinator::tickJobs(Instant Now) {
@@ -400,19 +417,20 @@
     if (Known->Phase != JobPhase::Running)
       continue;
     this->stopStalled(*Known, Now);
-    if (Known->AwaitingOffers > 0 && Now.Steady >= Known->OffersUntil) {
-      Known->OffersOver = true;
+    if (Known->AwaitingOffers > 0 && Now.Steady >= Known->OffersDeadline) {
+      Known->OffersTimedOut = true;
       this->Log.decision("offers_over",
                          {{"job", Id}, {"tasks", Known->AwaitingOffers}});
       Known->AwaitingOffers = 0;
       this->withdrawInterest(*Known);
-      this->placeSoon(*Known);
+      this->schedulePlacement(*Known);
     }
   }
   for (const auto &[Id, Known] : this->Jobs) {
     if (Now.Steady >= Known->GiveUpAt && Known->Phase != JobPhase::Answered)
       Due.push_back(Id);
-    if (Known->Next && Now.Steady >= lastDeadline(Known->Next->Callers))
+    if (Known->NextSubmission &&
+        Now.Steady >= lastDeadline(Known->NextSubmission->Callers))
       this->dropResubmission(*Known, "an earlier hand-in has not ended yet");
   }
   for (const std::string &Id : Due) {
--- a/main/lease_entry_process.cpp
+++ b/main/lease_entry_process.cpp
@@ -119,14 +119,14 @@
   CoordinatorOptions Options;
   Options.Seed = this->Incarnation;
   Options.FirstOrder = this->Incarnation * MaxOrdersPerMicrosecond;
-  Options.RenewEvery = CoordinatorRenewal;
+  Options.RenewalInterval = CoordinatorRenewal;
   return Options;
 }
 
 void LeaseEntryProcess::receive(const peer::Envelope &Envelope, Instant Now) {
   this->Coordinator.noteBehind(this->Node.loop().lastBehind(), Now);
   deliver(Envelope, this->Announce, this->Coordinator, Now);
-  this->Coordinator.placeDue(Now);
+  this->Coordinator.placeScheduled(Now);
 }
 
 void LeaseEntryProcess::tick(Instant Now) {
--- a/tests/entry/coordinator_agents_test.cpp
+++ b/tests/entry/coordinator_agents_test.cpp
@@ -5,7 +5,7 @@
 using namespace yardwheel;
 using namespace std::chrono_literals;
 
-TEST_GROUP_BASE(CoordinatorAgentsTest, CoordinatorBench){};
+TEST_GROUP_BASE(CoordinatorAgentsTest, CoordinatorFixture){};
 
 TEST(CoordinatorAgentsTest, AnAgentThatIsGoneLeavesItsJobsUnknown) {
   struct Row {
@@ -13,15 +13,15 @@
     std::function<void()> Lose;
   };
   const Row Rows[] = {
-      {"lost", [&] { loseToControl("a"); }},
+      {"lost", [&] { markLostByControl("a"); }},
       {"unreachable",
        [&] {
-         loseDispatch(Sink.Dispatches.size() - 1);
+         failDispatchDelivery(Sink.Dispatches.size() - 1);
          LONGS_EQUAL(0, Answers.Answers.size());
          Now.Steady += 20ms;
-         loseDispatch(Sink.Dispatches.size() - 1);
+         failDispatchDelivery(Sink.Dispatches.size() - 1);
        }},
-      {"silent", [&] { pass(1000ms); }},
+      {"silent", [&] { advance(1000ms); }},
   };
   for (const Row &Row : Rows) {
     Answers.Answers.clear();
@@ -60,7 +60,7 @@
   CHECK(onlyAnswer().End == LeasedEnd::Completed);
   std::size_t Before = Sink.Dispatches.size();
   Now.Steady += 300ms;
-  loseDispatch(0);
+  failDispatchDelivery(0);
   LONGS_EQUAL(Before, Sink.Dispatches.size());
 }
 
@@ -68,7 +68,7 @@
 TEST(CoordinatorAgentsTest, AnUpdateOfAnEarlierSubmissionChangesNothing) {
   addAgent("a");
   Coordinator.submit(request(1), 1, Now);
-  loseToControl("a");
+  markLostByControl("a");
   LONGS_EQUAL(1, Answers.Answers.size());
   addAgent("a");
   Coordinator.submit(request(1), 2, Now);
@@ -81,7 +81,7 @@
 
 // It may be cut off from control only, and its worker has room.
 TEST(CoordinatorAgentsTest, AnAgentThatControlLostIsUsedWhileItIsHeardHere) {
-  auto Hear = [&] { this->hear("a"); };
+  auto Hear = [&] { this->reportLoad("a"); };
   addAgent("a");
   Hear();
   LeasedJobRequest Long = request(1);
@@ -90,7 +90,7 @@
   setState("a", peer::MEMBER_LOST);
   LONGS_EQUAL(0, Answers.Answers.size());
   for (int I = 0; I < 10; ++I) {
-    pass(400ms);
+    advance(400ms);
     Hear();
   }
   answer(0, peer::LEASED_DONE);
@@ -99,7 +99,7 @@
   LONGS_EQUAL(2, Sink.Dispatches.size());
   answer(1, peer::LEASED_DONE);
   // Idle and no longer heard: neither control nor this entry knows of it.
-  pass(3000ms);
+  advance(3000ms);
   Coordinator.submit(request(1, "l"), 3, Now);
   LONGS_EQUAL(2, Sink.Dispatches.size());
   CHECK(Answers.Answers.back().second.End == LeasedEnd::NotRun);
@@ -114,14 +114,15 @@
   addAgent("a");
   Coordinator.submit(request(1), 1, Now);
   peer::Message Load;
-  Load.mutable_worker_load()->set_incarnation(AgentLife + 1);
+  Load.mutable_worker_load()->set_incarnation(AgentIncarnation + 1);
   Load.mutable_worker_load()->set_stamp(5);
   Coordinator.onMessage({"a", "10.0.0.1:1"}, Load, Now);
-  pass(80ms);
+  advance(80ms);
   CHECK(onlyAnswer().End == LeasedEnd::Unknown);
   Coordinator.submit(request(1, "k"), 2, Now);
   LONGS_EQUAL(2, Sink.Dispatches.size());
-  LONGS_EQUAL(AgentLife + 1, Sink.Dispatches[1].second.agent_incarnation());
+  LONGS_EQUAL(AgentIncarnation + 1,
+              Sink.Dispatches[1].second.agent_incarnation());
   // The stamp that was heard, and the time since then.
   CHECK(Sink.Dispatches[1].second.stamp() > 5);
   CHECK(Sink.Dispatches[1].second.stamp() <= 5 + 80);
@@ -130,13 +131,13 @@
 // After a common restart control knows of agents before this entry can reach
 // them. What is sent then fails, and its callers never learn what became of it.
 TEST(CoordinatorAgentsTest, AnAgentGetsNoTasksUntilItHasBeenHeardHere) {
-  tellOf("a");
+  announceAgent("a");
   CHECK_FALSE(Coordinator.hasWorkers());
   Coordinator.submit(request(1), 1, Now);
   CHECK(onlyAnswer().End == LeasedEnd::NotRun);
   Coordinator.tick(Now);
   LONGS_EQUAL(1, Sink.Renewals["a"]);
-  hear("a");
+  reportLoad("a");
   CHECK(Coordinator.hasWorkers());
   Coordinator.submit(request(1), 2, Now);
   LONGS_EQUAL(1, Sink.Dispatches.size());
@@ -151,7 +152,7 @@
     Now.Steady += 100ms;
     Coordinator.tick(Now, /*LastBehind=*/Now.Steady);
     if (Passed == 500ms)
-      loseDispatch(0);
+      failDispatchDelivery(0);
   }
   // Its caller's deadline is its own.
   LONGS_EQUAL(1, Answers.Answers.size());
@@ -160,9 +161,9 @@
   LONGS_EQUAL(0, Coordinator.counters().AgentsLost);
   // Once it has read all, what is unanswered from then on counts.
   Now.Steady += 1000ms;
-  hear("a");
+  reportLoad("a");
   Coordinator.submit(Other, 2, Now);
-  pass(1000ms);
+  advance(1000ms);
   LONGS_EQUAL(1, Coordinator.counters().AgentsLost);
 }
 
@@ -172,13 +173,13 @@
   addAgent("b", 1000);
   Coordinator.submit(request(2), 1, Now);
   STRCMP_EQUAL("a", Sink.Dispatches[0].first.c_str());
-  pass(400ms);
+  advance(400ms);
   LONGS_EQUAL(0, Answers.Answers.size());
   Coordinator.submit(request(1, "k"), 2, Now);
   STRCMP_EQUAL("b", Sink.Dispatches.back().first.c_str());
   // It is heard again.
   peer::Message Load;
-  Load.mutable_worker_load()->set_incarnation(AgentLife);
+  Load.mutable_worker_load()->set_incarnation(AgentIncarnation);
   Load.mutable_worker_load()->set_stamp(++Stamp);
   Coordinator.onMessage({"a", "10.0.0.1:1"}, Load, Now);
   Coordinator.submit(request(2, "l"), 3, Now);
@@ -188,9 +189,9 @@
 TEST(CoordinatorAgentsTest, AnotherConnectionIsTriedBeforeAnAgentIsLost) {
   addAgent("a");
   Coordinator.submit(request(1), 1, Now);
-  pass(400ms);
+  advance(400ms);
   LONGS_EQUAL(0, Sink.Reconnects["a"]);
-  pass(200ms);
+  advance(200ms);
   CHECK(Sink.Reconnects["a"] >= 1);
   LONGS_EQUAL(0, Answers.Answers.size());
 }
@@ -199,10 +200,10 @@
 TEST(CoordinatorAgentsTest, ARestartedAgentIsNotSilentForItsLastLife) {
   addAgent("a");
   Coordinator.submit(request(1), 1, Now);
-  pass(300ms);
-  loseDispatch(0);
-  pass(20ms);
-  loseDispatch(0);
+  advance(300ms);
+  failDispatchDelivery(0);
+  advance(20ms);
+  failDispatchDelivery(0);
   CHECK(onlyAnswer().End == LeasedEnd::Unknown);
   // Back before it was asked again whether it is there.
   Now.Steady += 450ms;
@@ -210,14 +211,14 @@
   Member.set_name("a");
   Member.set_role(peer::ROLE_AGENT);
   Member.set_state(peer::MEMBER_ALIVE);
-  Member.set_incarnation(AgentLife + 1);
+  Member.set_incarnation(AgentIncarnation + 1);
   Member.set_address("10.0.0.1:1");
   Member.set_pool("pool");
   Member.mutable_room()->set_cpu_milli(4000);
   Coordinator.onMember(Member, Now);
-  hear("a", AgentLife + 1);
+  reportLoad("a", AgentIncarnation + 1);
   Coordinator.submit(request(1, "k"), 2, Now);
-  pass(100ms);
+  advance(100ms);
   LONGS_EQUAL(1, Answers.Answers.size());
 }
 
@@ -234,15 +235,16 @@
         Sink.Dispatches[0].second.tasks(static_cast<int>(I)).order());
     Update->set_event(peer::LEASED_NOT_STARTED);
     Update->set_refusal(peer::REFUSAL_STALE);
-    Update->mutable_load()->set_incarnation(AgentLife + 1);
+    Update->mutable_load()->set_incarnation(AgentIncarnation + 1);
     Update->mutable_load()->set_stamp(5);
     Coordinator.onMessage({"a", "10.0.0.1:1"}, Message, Now);
   }
-  pass(100ms);
+  advance(100ms);
   LONGS_EQUAL(0, Answers.Answers.size());
   LONGS_EQUAL(2, Sink.Dispatches.size());
   LONGS_EQUAL(3, Sink.Dispatches[1].second.tasks_size());
-  LONGS_EQUAL(AgentLife + 1, Sink.Dispatches[1].second.agent_incarnation());
+  LONGS_EQUAL(AgentIncarnation + 1,
+              Sink.Dispatches[1].second.agent_incarnation());
 }
 
 // What an earlier life had is given up a little later than the new one is heard
@@ -254,10 +256,10 @@
     bool ByControl;
   };
   const Row Rows[] = {{"told by the agent", false}, {"told by control", true}};
-  std::uint64_t Newest = AgentLife;
+  std::uint64_t Newest = AgentIncarnation;
   for (const Row &Row : Rows) {
     addAgent("a");
-    hear("a", Newest);
+    reportLoad("a", Newest);
     Coordinator.submit(request(2, "old"), 1, Now);
     ++Newest;
     if (Row.ByControl) {
@@ -272,15 +274,15 @@
       Member.mutable_room()->set_memory_mb(1000);
       Coordinator.onMember(Member, Now);
     }
-    hear("a", Newest);
+    reportLoad("a", Newest);
     Coordinator.submit(request(1, "new"), 2, Now);
-    pass(100ms);
-    LONGS_EQUAL_TEXT(1, Coordinator.board().workers().at("a").OwnTasks,
+    advance(100ms);
+    LONGS_EQUAL_TEXT(1, Coordinator.workerTable().workers().at("a").OwnTasks,
                      Row.Name);
-    LONGS_EQUAL_TEXT(1000, Coordinator.board().workers().at("a").OwnCpu,
+    LONGS_EQUAL_TEXT(1000, Coordinator.workerTable().workers().at("a").OwnCpu,
                      Row.Name);
     answer(Sink.Dispatches.size() - 1, peer::LEASED_DONE);
-    LONGS_EQUAL_TEXT(0, Coordinator.board().workers().at("a").OwnTasks,
+    LONGS_EQUAL_TEXT(0, Coordinator.workerTable().workers().at("a").OwnTasks,
                      Row.Name);
   }
 }
@@ -291,7 +293,7 @@
   addAgent("a");
   Now.Steady += 20ms;
   Coordinator.submit(request(1), 1, Now);
-  loseDispatch(0);
+  failDispatchDelivery(0);
   LONGS_EQUAL(2, Sink.Dispatches.size());
   peer::Message Message;
   peer::LeasedUpdate *Update = Message.mutable_leased_update();
@@ -300,23 +302,23 @@
   Update->set_order(Sink.Dispatches[0].second.tasks(0).order());
   Update->set_event(peer::LEASED_NOT_STARTED);
   Update->set_refusal(peer::REFUSAL_STALE);
-  Update->mutable_load()->set_incarnation(AgentLife + 1);
+  Update->mutable_load()->set_incarnation(AgentIncarnation + 1);
   Update->mutable_load()->set_stamp(5);
   Coordinator.onMessage({"a", "10.0.0.1:1"}, Message, Now);
-  pass(100ms);
+  advance(100ms);
   LONGS_EQUAL(2, Sink.Dispatches.size());
   CHECK(onlyAnswer().End == LeasedEnd::Unknown);
 }
 
 TEST(CoordinatorAgentsTest, LeasesAreRenewedOnlyOftenWhileTasksRun) {
   addAgent("a");
-  pass(1000ms);
+  advance(1000ms);
   int Idle = Sink.Renewals["a"];
   Coordinator.submit(request(1), 1, Now);
   for (int I = 0; I < 5; ++I) {
-    pass(200ms);
+    advance(200ms);
     peer::Message Load;
-    Load.mutable_worker_load()->set_incarnation(AgentLife);
+    Load.mutable_worker_load()->set_incarnation(AgentIncarnation);
     Load.mutable_worker_load()->set_stamp(++Stamp);
     Coordinator.onMessage({"a", "10.0.0.1:1"}, Load, Now);
   }
@@ -329,13 +331,13 @@
 TEST(CoordinatorAgentsTest,
      ADispatchRenewsTheLeaseAndNewsOfAnAgentSpareAQuestion) {
   addAgent("a");
-  pass(100ms);
+  advance(100ms);
   int Before = Sink.Renewals["a"];
   for (int I = 0; I < 20; ++I) {
     Coordinator.submit(request(1, ("j" + std::to_string(I)).c_str()), 1, Now);
-    pass(100ms);
+    advance(100ms);
     answer(Sink.Dispatches.size() - 1, peer::LEASED_DONE);
-    pass(100ms);
+    advance(100ms);
   }
   LONGS_EQUAL(Before, Sink.Renewals["a"]);
   LONGS_EQUAL(20, Answers.Answers.size());
@@ -352,7 +354,7 @@
   int Before = Sink.Renewals["a"];
   for (int I = 0; I < 20; ++I) {
     Coordinator.submit(request(1, ("j" + std::to_string(I)).c_str()), 1, Now);
-    pass(100ms);
+    advance(100ms);
     answer(Sink.Dispatches.size() - 1, peer::LEASED_DONE);
   }
   CHECK(Sink.Renewals["a"] - Before >= 2);
@@ -362,8 +364,8 @@
 TEST(CoordinatorAgentsTest, AStampIsCarriedOnByAtMostTheTimeThatHasPassed) {
   struct Row {
     std::chrono::milliseconds Passed;
-    std::uint64_t Least;
-    std::uint64_t Most;
+    std::uint64_t Min;
+    std::uint64_t Max;
   };
   const Row Rows[] = {{0ms, 1000, 1000},
                       {100ms, 1097, 1100},
@@ -375,8 +377,8 @@
     Worker.Stamp = 1000;
     Worker.StampHeard = Now.Steady;
     std::uint64_t Carried = Worker.stampAt(Now.Steady + Row.Passed);
-    CHECK(Carried >= Row.Least);
-    CHECK(Carried <= Row.Most);
+    CHECK(Carried >= Row.Min);
+    CHECK(Carried <= Row.Max);
   }
 }
 
@@ -387,9 +389,9 @@
   setState("a", peer::MEMBER_LEAVING);
   int Before = Sink.Renewals["a"];
   for (int I = 0; I < 4; ++I) {
-    pass(200ms);
+    advance(200ms);
     peer::Message Load;
-    Load.mutable_worker_load()->set_incarnation(AgentLife);
+    Load.mutable_worker_load()->set_incarnation(AgentIncarnation);
     Load.mutable_worker_load()->set_stamp(++Stamp);
     Load.mutable_worker_load()->set_leaving(true);
     Coordinator.onMessage({"a", "10.0.0.1:1"}, Load, Now);
@@ -398,7 +400,7 @@
   answer(0, peer::LEASED_DONE);
   CHECK(onlyAnswer().End == LeasedEnd::Completed);
   int After = Sink.Renewals["a"];
-  pass(2000ms);
+  advance(2000ms);
   LONGS_EQUAL(After, Sink.Renewals["a"]);
 }
 
@@ -410,13 +412,13 @@
   Now.Steady += 300ms;
   peer::Message Renewal;
   Renewal.mutable_lease_renewal();
-  loseMessage("a", Renewal);
+  failDelivery("a", Renewal);
   CHECK(Coordinator.hasWorkers());
   Now.Steady += 300ms;
-  loseMessage("a", Renewal);
+  failDelivery("a", Renewal);
   CHECK_FALSE(Coordinator.hasWorkers());
   peer::Message Load;
-  Load.mutable_worker_load()->set_incarnation(AgentLife);
+  Load.mutable_worker_load()->set_incarnation(AgentIncarnation);
   Coordinator.onMessage({"a", "10.0.0.1:1"}, Load, Now);
   CHECK(Coordinator.hasWorkers());
   setState("a", peer::MEMBER_LEAVING);
--- a/tests/entry/coordinator_fixture.h
+++ b/tests/entry/coordinator_fixture.h
@@ -1,4 +1,4 @@
-//===- tests/entry/coordinator_fixture.h - A coordinator alone ----*- C++
+//===- tests/entry/coordinator_fixture.h - A coordinator in tests *- C++
 //-*-===//
 ///
 /// \file
@@ -25,17 +25,17 @@
       this->Dispatches.push_back({To.Node, Message.leased_dispatch()});
     else if (Message.has_leased_stop() &&
              Message.leased_stop().longer_than_ms() > 0)
-      this->Stalls.push_back({To.Node, Message.leased_stop()});
+      this->StallStops.push_back({To.Node, Message.leased_stop()});
     else if (Message.has_leased_stop()) {
       this->Stops.push_back(To.Node);
-      this->Stopped = ordersOf(Message.leased_stop().orders());
+      this->StoppedOrders = ordersOf(Message.leased_stop().orders());
     } else if (Message.has_lease_renewal()) {
       ++this->Renewals[To.Node];
-      this->Named[To.Node] = ordersOf(Message.lease_renewal().orders());
+      this->RenewedOrders[To.Node] = ordersOf(Message.lease_renewal().orders());
     } else if (Message.has_leased_interest())
       this->Interests.push_back({To.Node, Message.leased_interest()});
     else if (Message.has_offer_reply())
-      ++this->Declined[To.Node];
+      ++this->DeclinedOffers[To.Node];
   }
   void reconnect(const PeerRef &To) override { ++this->Reconnects[To.Node]; }
   static std::set<std::uint64_t>
@@ -45,12 +45,12 @@
   std::vector<std::pair<std::string, peer::LeasedDispatch>> Dispatches;
   std::vector<std::string> Stops;
   /// The placements that the last stop named.
-  std::set<std::uint64_t> Stopped;
+  std::set<std::uint64_t> StoppedOrders;
   /// The placements that the last renewal for each agent named.
-  std::map<std::string, std::set<std::uint64_t>> Named;
-  std::vector<std::pair<std::string, peer::LeasedStop>> Stalls;
+  std::map<std::string, std::set<std::uint64_t>> RenewedOrders;
+  std::vector<std::pair<std::string, peer::LeasedStop>> StallStops;
   std::vector<std::pair<std::string, peer::LeasedInterest>> Interests;
-  std::map<std::string, int> Declined;
+  std::map<std::string, int> DeclinedOffers;
   std::map<std::string, int> Renewals;
   std::map<std::string, int> Reconnects;
 };
@@ -60,29 +60,29 @@
   void onLeasedAnswer(LeaseTicket Ticket, const LeasedAnswer &Answer) override {
     this->Answers.push_back({Ticket, Answer});
   }
-  bool hasCaller(LeaseTicket) const override { return this->CallersThere; }
+  bool hasCaller(LeaseTicket) const override { return this->CallersConnected; }
   std::size_t countOf(LeaseTicket Ticket) const {
     return static_cast<std::size_t>(
         std::ranges::count(this->Answers, Ticket, [](const auto &Answered) {
           return Answered.first;
         }));
   }
-  bool CallersThere = true;
+  bool CallersConnected = true;
   std::vector<std::pair<LeaseTicket, LeasedAnswer>> Answers;
 };
 
-inline constexpr std::uint64_t AgentLife = 9;
+inline constexpr std::uint64_t AgentIncarnation = 9;
 
 /// Spread placement: a job's tasks go to several agents, so that the tests see
 /// how these are told apart.
 inline CoordinatorOptions spreadOptions() {
   CoordinatorOptions Options;
-  Options.Board.Placement = "spread";
+  Options.Workers.Placement = "spread";
   return Options;
 }
 
 /// The base of the groups of its tests.
-class CoordinatorBench : public Utest {
+class CoordinatorFixture : public Utest {
 protected:
   CoordinatorSink Sink;
   CoordinatorAnswers Answers;
@@ -91,21 +91,22 @@
 
   /// Tells of an agent, which then answers the entry's first question.
   void addAgent(const std::string &Name, std::uint32_t CpuMilli = 4000) {
-    this->tellOf(Name, CpuMilli);
-    this->hear(Name);
+    this->announceAgent(Name, CpuMilli);
+    this->reportLoad(Name);
   }
-  void hear(const std::string &Name, std::uint64_t Incarnation = AgentLife) {
+  void reportLoad(const std::string &Name,
+                  std::uint64_t Incarnation = AgentIncarnation) {
     peer::Message Load;
     Load.mutable_worker_load()->set_incarnation(Incarnation);
     Load.mutable_worker_load()->set_stamp(++this->Stamp);
     Coordinator.onMessage({Name, "10.0.0.1:1"}, Load, Now);
   }
-  void tellOf(const std::string &Name, std::uint32_t CpuMilli = 4000) {
+  void announceAgent(const std::string &Name, std::uint32_t CpuMilli = 4000) {
     peer::Member Member;
     Member.set_name(Name);
     Member.set_role(peer::ROLE_AGENT);
     Member.set_state(peer::MEMBER_ALIVE);
-    Member.set_incarnation(AgentLife);
+    Member.set_incarnation(AgentIncarnation);
     Member.set_address("10.0.0.1:1");
     Member.set_pool("pool");
     Member.mutable_room()->set_cpu_milli(CpuMilli);
@@ -117,11 +118,11 @@
     Member.set_name(Name);
     Member.set_role(peer::ROLE_AGENT);
     Member.set_state(State);
-    Member.set_incarnation(AgentLife);
+    Member.set_incarnation(AgentIncarnation);
     Coordinator.onMember(Member, Now);
   }
   /// Control has lost an agent that this entry has not heard for long either.
-  void loseToControl(const std::string &Name) {
+  void markLostByControl(const std::string &Name) {
     Now.Steady += std::chrono::seconds(3);
     this->setState(Name, peer::MEMBER_LOST);
   }
@@ -151,33 +152,33 @@
     Offer->set_job(Job);
     Offer->set_offer(++this->LastOffer);
     Offer->set_tasks(Tasks);
-    Offer->mutable_load()->set_incarnation(AgentLife);
+    Offer->mutable_load()->set_incarnation(AgentIncarnation);
     Offer->mutable_load()->set_stamp(++this->Stamp);
     Coordinator.onMessage({Agent, "10.0.0.1:1"}, Message, Now);
   }
   std::uint64_t LastOffer = 0;
   /// Reports that a message of this kind did not reach the agent.
-  void loseMessage(const std::string &Agent, const peer::Message &Message) {
+  void failDelivery(const std::string &Agent, const peer::Message &Message) {
     auto Sent = std::make_shared<peer::Envelope>();
     *Sent->add_messages() = Message;
     Coordinator.onUndelivered({{Agent, "10.0.0.1:1"}, Now.Steady, Sent}, Now);
   }
   /// An agent lists the placements that it holds for this entry.
-  void list(const std::string &Agent,
-            const std::vector<std::uint64_t> &Orders) {
+  void listHeldOrders(const std::string &Agent,
+                      const std::vector<std::uint64_t> &Orders) {
     peer::Message Message;
     peer::WorkerLoad *Load = Message.mutable_worker_load();
-    Load->set_incarnation(AgentLife);
+    Load->set_incarnation(AgentIncarnation);
     Load->set_stamp(++this->Stamp);
     Load->set_lists_held(true);
     for (std::uint64_t Order : Orders)
       Load->add_held_orders(Order);
     Coordinator.onMessage({Agent, "10.0.0.1:1"}, Message, Now);
   }
-  void loseDispatch(std::size_t Which) {
+  void failDispatchDelivery(std::size_t Which) {
     peer::Message Message;
     *Message.mutable_leased_dispatch() = Sink.Dispatches.at(Which).second;
-    this->loseMessage(Sink.Dispatches.at(Which).first, Message);
+    this->failDelivery(Sink.Dispatches.at(Which).first, Message);
   }
   /// Answers the dispatch with this number, for all of its tasks.
   void answer(std::size_t Which, peer::LeasedEvent Event,
@@ -193,7 +194,7 @@
       Update->set_event(Event);
       Update->set_refusal(Refusal);
       Update->set_service_us(100000);
-      Update->mutable_load()->set_incarnation(AgentLife);
+      Update->mutable_load()->set_incarnation(AgentIncarnation);
       Update->mutable_load()->set_stamp(++this->Stamp);
       // As an agent counts: at least the one that it tells of.
       bool Failure =
@@ -201,9 +202,9 @@
       Update->mutable_load()->set_failures_in_row(Failure ? 1 : 0);
       Coordinator.onMessage({Agent, "10.0.0.1:1"}, Message, Now);
     }
-    Coordinator.placeDue(Now);
+    Coordinator.placeScheduled(Now);
   }
-  void pass(std::chrono::milliseconds Time) {
+  void advance(std::chrono::milliseconds Time) {
     for (std::chrono::milliseconds Step = std::chrono::milliseconds(0);
          Step < Time; Step += std::chrono::milliseconds(20)) {
       Now.Steady += std::chrono::milliseconds(20);
--- a/tests/entry/coordinator_lists_test.cpp
+++ b/tests/entry/coordinator_lists_test.cpp
@@ -10,7 +10,7 @@
 using namespace yardwheel;
 using namespace std::chrono_literals;
 
-TEST_GROUP_BASE(CoordinatorListsTest, CoordinatorBench){};
+TEST_GROUP_BASE(CoordinatorListsTest, CoordinatorFixture){};
 
 // An entry that stood still misses the ends that were told meanwhile. What it
 // believes to be running must not keep it from taking jobs for ever.
@@ -33,10 +33,10 @@
     Long.Deadline = 60s;
     Coordinator.submit(Long, 1, Now);
     for (auto Passed = 0ms; Passed < Row.After; Passed += 200ms) {
-      pass(200ms);
+      advance(200ms);
       peer::Message Message;
       peer::WorkerLoad *Load = Message.mutable_worker_load();
-      Load->set_incarnation(AgentLife);
+      Load->set_incarnation(AgentIncarnation);
       Load->set_stamp(++Stamp);
       Load->set_lists_held(true);
       if (Row.Listed)
@@ -50,7 +50,7 @@
     answer(Sink.Dispatches.size() - 1, peer::LEASED_DONE);
     CHECK_TEXT(Answers.Answers.back().second.End == LeasedEnd::Completed,
                Row.Name);
-    LONGS_EQUAL_TEXT(0, Coordinator.board().workers().at("a").OwnTasks,
+    LONGS_EQUAL_TEXT(0, Coordinator.workerTable().workers().at("a").OwnTasks,
                      Row.Name);
   }
 }
@@ -71,12 +71,12 @@
     Coordinator.submit(Long, 1, Now);
     std::size_t First = Sink.Dispatches.size() - 1;
     for (auto Passed = 0ms; Passed < 1800ms; Passed += 200ms) {
-      pass(200ms);
+      advance(200ms);
       if (Row.Repeated && Passed == 1200ms)
-        loseDispatch(First);
-      list("a", {});
+        failDispatchDelivery(First);
+      listHeldOrders("a", {});
     }
-    Coordinator.placeDue(Now);
+    Coordinator.placeScheduled(Now);
     std::set<std::uint64_t> Orders;
     for (std::size_t I = First; I < Sink.Dispatches.size(); ++I)
       Orders.insert(Sink.Dispatches[I].second.tasks(0).order());
@@ -102,7 +102,7 @@
       {"given up when its agent fell silent",
        [&] {
          std::uint64_t Order = Place();
-         pass(1000ms);
+         advance(1000ms);
          LONGS_EQUAL(1, Answers.Answers.size());
          return Order;
        },
@@ -110,8 +110,8 @@
       {"given up, and the job has a newer placement there",
        [&] {
          std::uint64_t Order = Place();
-         pass(1000ms);
-         hear("a");
+         advance(1000ms);
+         reportLoad("a");
          Place();
          return Order;
        },
@@ -129,17 +129,18 @@
     addAgent("a");
     std::uint64_t Order = Row.Hold();
     Sink.Stops.clear();
-    list("a", {Order});
+    listHeldOrders("a", {Order});
     LONGS_EQUAL_TEXT(Row.Stops, Sink.Stops.size(), Row.Name);
     // A newer placement of the same job goes on.
     if (Row.Stops > 0)
-      CHECK_TEXT(Sink.Stopped == std::set<std::uint64_t>{Order}, Row.Name);
+      CHECK_TEXT(Sink.StoppedOrders == std::set<std::uint64_t>{Order},
+                 Row.Name);
     // Its runs end before the next row.
     Coordinator.cancel("j", "test", Now);
-    pass(2000ms);
-    list("a", {});
-    pass(600ms);
-    list("a", {});
+    advance(2000ms);
+    listHeldOrders("a", {});
+    advance(600ms);
+    listHeldOrders("a", {});
     LONGS_EQUAL_TEXT(0, Coordinator.inFlight(), Row.Name);
   }
 }
--- a/tests/entry/coordinator_placement_test.cpp
+++ b/tests/entry/coordinator_placement_test.cpp
@@ -5,7 +5,7 @@
 using namespace yardwheel;
 using namespace std::chrono_literals;
 
-TEST_GROUP_BASE(CoordinatorPlacementTest, CoordinatorBench){};
+TEST_GROUP_BASE(CoordinatorPlacementTest, CoordinatorFixture){};
 
 // What is known of others' tasks is a message old, so entries meet at workers
 // that each takes for empty.
@@ -26,13 +26,13 @@
     Update->set_order(Task.order());
     Update->set_event(peer::LEASED_NOT_STARTED);
     Update->set_refusal(peer::REFUSAL_BUSY);
-    Update->mutable_load()->set_incarnation(AgentLife);
+    Update->mutable_load()->set_incarnation(AgentIncarnation);
     Update->mutable_load()->set_stamp(++Stamp);
     Update->mutable_load()->set_others_cpu_milli(4000);
     Coordinator.onMessage({Busy, "10.0.0.1:1"}, Message, Now);
   }
   LONGS_EQUAL(2, Sink.Dispatches.size());
-  Coordinator.placeDue(Now);
+  Coordinator.placeScheduled(Now);
   LONGS_EQUAL(3, Sink.Dispatches.size());
   CHECK(Sink.Dispatches[2].first != Busy);
   LONGS_EQUAL(2, Sink.Dispatches[2].second.tasks_size());
@@ -43,12 +43,12 @@
   addAgent("a", 1000);
   CoordinatorOptions Options;
   Coordinator.submit(patientRequest(1), 1, Now);
-  for (std::uint32_t I = 0; I < Options.MaxBounces; ++I) {
+  for (std::uint32_t I = 0; I < Options.MaxRefusableRetries; ++I) {
     CHECK(Sink.Dispatches.back().second.start_or_refuse());
     answer(Sink.Dispatches.size() - 1, peer::LEASED_NOT_STARTED,
            peer::REFUSAL_BUSY);
   }
-  LONGS_EQUAL(Options.MaxBounces + 1, Sink.Dispatches.size());
+  LONGS_EQUAL(Options.MaxRefusableRetries + 1, Sink.Dispatches.size());
   CHECK_FALSE(Sink.Dispatches.back().second.start_or_refuse());
 }
 
@@ -86,7 +86,7 @@
   // All are placed: whoever offers more gets its room back at once.
   offer("b", "urgent", 1);
   LONGS_EQUAL(5, Sink.Dispatches.size());
-  LONGS_EQUAL(1, Sink.Declined["b"]);
+  LONGS_EQUAL(1, Sink.DeclinedOffers["b"]);
   answer(3, peer::LEASED_DONE);
   answer(4, peer::LEASED_DONE);
   CHECK(onlyAnswer().End == LeasedEnd::Completed);
@@ -98,15 +98,15 @@
   Coordinator.submit(patientRequest(1, "full"), 1, Now);
   Coordinator.submit(request(1, "urgent"), 2, Now);
   LONGS_EQUAL(1, Sink.Dispatches.size());
-  pass(60ms);
+  advance(60ms);
   LONGS_EQUAL(1, Sink.Dispatches.size());
-  pass(40ms);
+  advance(40ms);
   LONGS_EQUAL(2, Sink.Dispatches.size());
   CHECK(Sink.Dispatches[1].second.start_by_ms() > 0);
   CHECK_FALSE(Sink.Dispatches[1].second.start_or_refuse());
   // What comes late finds nothing to take.
   offer("a", "urgent", 1);
-  LONGS_EQUAL(1, Sink.Declined["a"]);
+  LONGS_EQUAL(1, Sink.DeclinedOffers["a"]);
 }
 
 // Offers cost messages, and another worker is easily found.
@@ -139,7 +139,7 @@
   Coordinator.cancel("urgent", "test", Now);
   CHECK(onlyAnswer().End == LeasedEnd::NotRun);
   offer("a", "urgent", 1);
-  LONGS_EQUAL(1, Sink.Declined["a"]);
+  LONGS_EQUAL(1, Sink.DeclinedOffers["a"]);
   LONGS_EQUAL(1, Sink.Dispatches.size());
 }
 
@@ -150,16 +150,17 @@
   addAgent("c", 2000);
   Coordinator.submit(request(6), 1, Now);
   LONGS_EQUAL(3, Sink.Dispatches.size());
-  pass(100ms);
+  advance(100ms);
   answer(0, peer::LEASED_DONE);
   answer(1, peer::LEASED_DONE);
-  pass(100ms);
-  LONGS_EQUAL(0, Sink.Stalls.size());
-  pass(400ms);
+  advance(100ms);
+  LONGS_EQUAL(0, Sink.StallStops.size());
+  advance(400ms);
   // Of both tasks there, told again only after a while.
-  CHECK(Sink.Stalls.size() >= 2);
-  CHECK(Sink.Stalls[0].second.longer_than_ms() > 100);
-  STRCMP_EQUAL(Sink.Dispatches[2].first.c_str(), Sink.Stalls[0].first.c_str());
+  CHECK(Sink.StallStops.size() >= 2);
+  CHECK(Sink.StallStops[0].second.longer_than_ms() > 100);
+  STRCMP_EQUAL(Sink.Dispatches[2].first.c_str(),
+               Sink.StallStops[0].first.c_str());
   answer(2, peer::LEASED_ENDED_EARLY);
   LONGS_EQUAL(5, Sink.Dispatches.size());
   for (std::size_t I = 3; I < 5; ++I)
@@ -215,7 +216,7 @@
   auto Tell = [&](std::uint32_t Failures) {
     peer::Message Message;
     peer::WorkerLoad *Load = Message.mutable_worker_load();
-    Load->set_incarnation(AgentLife);
+    Load->set_incarnation(AgentIncarnation);
     Load->set_stamp(++Stamp);
     Load->set_failures_in_row(Failures);
     Coordinator.onMessage({"a", "10.0.0.1:1"}, Message, Now);
@@ -273,7 +274,7 @@
     const char *Name;
     std::chrono::milliseconds Passed;
     bool WasBehind;
-    bool CallersThere;
+    bool CallersConnected;
     bool IsPlaced;
   };
   const Row Rows[] = {
@@ -286,7 +287,7 @@
   for (bool Offered : {false, true})
     for (const Row &Row : Rows) {
       Answers.Answers.clear();
-      Answers.CallersThere = true;
+      Answers.CallersConnected = true;
       addAgent("a", 1000);
       // The job waits here for an offer where the worker is full.
       LeasedJobRequest Full = patientRequest(1, "full");
@@ -296,7 +297,7 @@
       Coordinator.submit(request(1), 1, Now);
       std::size_t Before = Sink.Dispatches.size();
       Now.Steady += Row.Passed;
-      Answers.CallersThere = Row.CallersThere;
+      Answers.CallersConnected = Row.CallersConnected;
       Coordinator.noteBehind(Row.WasBehind ? Now.Steady : TimePoint::min(),
                              Now);
       if (Offered)
@@ -308,7 +309,7 @@
       for (std::size_t I = 0; I < Sink.Dispatches.size(); ++I)
         answer(I, peer::LEASED_DONE);
       Coordinator.noteBehind(TimePoint::min(), Now);
-      pass(6000ms);
+      advance(6000ms);
       LONGS_EQUAL_TEXT(0, Coordinator.inFlight(), Row.Name);
     }
 }
--- a/tests/entry/crashing_task_test.cpp
+++ b/tests/entry/crashing_task_test.cpp
@@ -23,11 +23,11 @@
 constexpr std::uint32_t Core = 1000;
 
 /// A world with a load of ordinary jobs and some that crash workers.
-class CrashStory {
+class CrashScenario {
 public:
   /// \param Counts Whether crashes are counted by task; off only to compare.
-  CrashStory(std::uint64_t Seed, std::size_t Agents, std::size_t Entries,
-             bool Counts = true)
+  CrashScenario(std::uint64_t Seed, std::size_t Agents, std::size_t Entries,
+                bool Counts = true)
       : World(options(Seed, Agents, Entries, Counts)), Entries(Entries),
         Random(Seed) {}
 
@@ -84,28 +84,28 @@
 
 TEST(CrashingTaskTest, ATaskIsGivenUpUnderWhichTwoWorkersHaveCrashed) {
   for (std::uint64_t Seed = 1; Seed <= 5; ++Seed) {
-    CrashStory Story(Seed, 24, 3);
-    Story.submit("crashing", 1, 60ms, /*Crashes=*/true, 12s);
-    Story.run(14s);
-    CrashToll Toll = Story.World.crashToll();
+    CrashScenario Scenario(Seed, 24, 3);
+    Scenario.submit("crashing", 1, 60ms, /*Crashes=*/true, 12s);
+    Scenario.run(14s);
+    CrashToll Toll = Scenario.World.crashToll();
     std::string Found =
         fmt::format("seed {}: {} crashes, {} starts after three", Seed,
                     Toll.Crashes, Toll.MostStartsAfterThree);
     CHECK_TEXT(Toll.MostStartsAfterThree < 3, Found.c_str());
     LONGS_EQUAL_TEXT(2, Toll.MostUnderOneTask, Found.c_str());
-    LONGS_EQUAL_TEXT(1, Story.outcome("crashing").Failed, Found.c_str());
+    LONGS_EQUAL_TEXT(1, Scenario.outcome("crashing").Failed, Found.c_str());
   }
 }
 
 // The caller may hand the job in again at another entry, and again.
 TEST(CrashingTaskTest, AJobThatIsHandedInAgainIsRefusedAsFailed) {
   for (std::uint64_t Seed = 1; Seed <= 5; ++Seed) {
-    CrashStory Story(Seed, 24, 3);
+    CrashScenario Scenario(Seed, 24, 3);
     for (int Try = 0; Try < 8; ++Try) {
-      Story.submit("crashing", 1, 60ms, /*Crashes=*/true, 1500ms, "the-job");
-      Story.run(2800ms);
+      Scenario.submit("crashing", 1, 60ms, /*Crashes=*/true, 1500ms, "the-job");
+      Scenario.run(2800ms);
     }
-    CrashToll Toll = Story.World.crashToll();
+    CrashToll Toll = Scenario.World.crashToll();
     std::string Found =
         fmt::format("seed {}: {} crashes, {} starts after three", Seed,
                     Toll.Crashes, Toll.MostStartsAfterThree);
@@ -117,22 +117,22 @@
 // What ran beside it on a worker must be served, and not be given up with it.
 TEST(CrashingTaskTest, JobsBesideACrashingTaskAreServed) {
   for (std::uint64_t Seed = 1; Seed <= 5; ++Seed) {
-    CrashStory Story(Seed, 24, 3);
+    CrashScenario Scenario(Seed, 24, 3);
     for (int I = 0; I < 200; ++I) {
-      Story.submit("ordinary", 3, 300ms, /*Crashes=*/false, 12s);
+      Scenario.submit("ordinary", 3, 300ms, /*Crashes=*/false, 12s);
       if (I == 50)
-        Story.submit("crashing", 1, 60ms, /*Crashes=*/true, 12s);
-      Story.run(20ms);
+        Scenario.submit("crashing", 1, 60ms, /*Crashes=*/true, 12s);
+      Scenario.run(20ms);
     }
-    Story.run(14s);
-    RouteOutcome Ordinary = Story.outcome("ordinary");
+    Scenario.run(14s);
+    RouteOutcome Ordinary = Scenario.outcome("ordinary");
     std::string Found = fmt::format(
         "seed {}: in time {}, late {}, refused {}, failed {}", Seed,
         Ordinary.InTime, Ordinary.Late, Ordinary.Refused, Ordinary.Failed);
     LONGS_EQUAL_TEXT(0, Ordinary.Failed, Found.c_str());
     CHECK_TEXT(Ordinary.inTimeShare() >= 0.97, Found.c_str());
-    LONGS_EQUAL_TEXT(1, Story.outcome("crashing").Failed, Found.c_str());
-    LONGS_EQUAL(0, Story.World.doubledRuns());
+    LONGS_EQUAL_TEXT(1, Scenario.outcome("crashing").Failed, Found.c_str());
+    LONGS_EQUAL(0, Scenario.World.doubledRuns());
   }
 }
 
@@ -142,8 +142,8 @@
   struct Row {
     const char *Name;
     bool Counts;
-    std::uint32_t MostCrashes;
-    double LeastInTime;
+    std::uint32_t MaxCrashes;
+    double MinInTimeShare;
   };
   const Row Rows[] = {{"counted", true, 2, 0.9}, {"not counted", false, 12, 0}};
   constexpr std::size_t Seeds = 10;
@@ -151,27 +151,27 @@
   for (std::size_t Run = 0; Run < 2 * Seeds; ++Run) {
     std::size_t I = Run % 2;
     const Row &Row = Rows[I];
-    CrashStory Story(/*Seed=*/Run / 2 + 1, 70, 7, Row.Counts);
+    CrashScenario Scenario(/*Seed=*/Run / 2 + 1, 70, 7, Row.Counts);
     for (int Step = 0; Step < 500; ++Step) {
       for (int Job = 0; Job < 3; ++Job)
-        Story.submit("ordinary", 3, 300ms, /*Crashes=*/false, 8s);
+        Scenario.submit("ordinary", 3, 300ms, /*Crashes=*/false, 8s);
       if (Step < 250 && Step % 10 == 0)
-        Story.submit("crashing", 1, 60ms, /*Crashes=*/true, 8s);
-      Story.run(20ms);
+        Scenario.submit("crashing", 1, 60ms, /*Crashes=*/true, 8s);
+      Scenario.run(20ms);
     }
-    Story.run(10s);
-    CrashToll Toll = Story.World.crashToll();
-    RouteOutcome Ordinary = Story.outcome("ordinary");
+    Scenario.run(10s);
+    CrashToll Toll = Scenario.World.crashToll();
+    RouteOutcome Ordinary = Scenario.outcome("ordinary");
     InTime[I] = Ordinary.inTimeShare();
     std::string Found = fmt::format(
         "{}: {} crashes, {} under one task; in time {}, late {}, refused {}, "
         "failed {} of {}",
         Row.Name, Toll.Crashes, Toll.MostUnderOneTask, Ordinary.InTime,
         Ordinary.Late, Ordinary.Refused, Ordinary.Failed, Ordinary.Asked);
-    CHECK_TEXT(Toll.MostUnderOneTask <= Row.MostCrashes, Found.c_str());
-    CHECK_TEXT(InTime[I] >= Row.LeastInTime, Found.c_str());
+    CHECK_TEXT(Toll.MostUnderOneTask <= Row.MaxCrashes, Found.c_str());
+    CHECK_TEXT(InTime[I] >= Row.MinInTimeShare, Found.c_str());
     CHECK_TEXT(!Row.Counts || Ordinary.Failed == 0, Found.c_str());
-    LONGS_EQUAL(0, Story.World.doubledRuns());
+    LONGS_EQUAL(0, Scenario.World.doubledRuns());
     CHECK_TEXT(I == 0 || InTime[0] > InTime[1], Found.c_str());
   }
 }
--- a/tests/entry/lease_coordinator_test.cpp
+++ b/tests/entry/lease_coordinator_test.cpp
@@ -5,7 +5,7 @@
 using namespace yardwheel;
 using namespace std::chrono_literals;
 
-TEST_GROUP_BASE(LeaseCoordinatorTest, CoordinatorBench){};
+TEST_GROUP_BASE(LeaseCoordinatorTest, CoordinatorFixture){};
 
 TEST(LeaseCoordinatorTest, AJobIsCompleteWhenEveryTaskIsDone) {
   addAgent("a");
@@ -81,7 +81,7 @@
   Coordinator.cancel("j", "test", Now);
   LONGS_EQUAL(1, Sink.Stops.size());
   LONGS_EQUAL(0, Answers.Answers.size());
-  pass(60ms);
+  advance(60ms);
   CHECK(onlyAnswer().End == LeasedEnd::Unknown);
 }
 
@@ -91,11 +91,11 @@
   addAgent("a");
   Coordinator.submit(request(1), 1, Now);
   Coordinator.cancel("j", "test", Now);
-  pass(60ms);
+  advance(60ms);
   LONGS_EQUAL(1, Answers.Answers.size());
   Coordinator.submit(request(1), 2, Now);
   Coordinator.submit(request(1), 3, Now);
-  pass(60ms);
+  advance(60ms);
   LONGS_EQUAL(1, Sink.Dispatches.size());
   LONGS_EQUAL(1, Answers.Answers.size());
   answer(0, peer::LEASED_ENDED_EARLY);
@@ -125,7 +125,7 @@
     Answers.Answers.clear();
     Coordinator.submit(request(1), 1, Now);
     Coordinator.cancel("j", "test", Now);
-    pass(60ms);
+    advance(60ms);
     Coordinator.submit(request(1), 2, Now);
     Coordinator.submit(request(1), 3, Now);
     Coordinator.withdraw("j", Row.Leaves, "test", Now);
@@ -159,7 +159,7 @@
     if (Row.CallerLeaves)
       Coordinator.cancel(Id, "test", Now);
     else
-      pass(240ms);
+      advance(240ms);
     // One of its runs may have begun.
     CHECK_TEXT(Answers.Answers.back().first == 2 ||
                    Answers.Answers.front().first == 2,
@@ -167,7 +167,7 @@
     for (const auto &[Ticket, Answer] : Answers.Answers)
       CHECK_TEXT(Answer.End == LeasedEnd::Unknown, Row.Name);
     answer(Sink.Dispatches.size() - 1, peer::LEASED_ENDED_EARLY);
-    pass(60ms);
+    advance(60ms);
     LONGS_EQUAL_TEXT(0, Coordinator.inFlight(), Row.Name);
   }
 }
@@ -208,13 +208,13 @@
     std::size_t First = Sink.Dispatches.size() - 1;
     Coordinator.cancel(Row.Name, "test", Now);
     if (Row.Early) {
-      pass(60ms);
+      advance(60ms);
       Coordinator.submit(request(1, Row.Name), 2, Now);
       Row.Refuse();
       answer(First, Row.First, peer::REFUSAL_STOPPED);
     } else {
       answer(First, Row.First, peer::REFUSAL_STOPPED);
-      pass(1000ms);
+      advance(1000ms);
       Row.Refuse();
       Coordinator.submit(request(1, Row.Name), 2, Now);
     }
@@ -257,8 +257,8 @@
     addAgent("a");
     Coordinator.submit(request(1, Row.Name), 1, Now);
     for (auto Passed = 0ms; Passed < 2000ms; Passed += 100ms) {
-      pass(100ms);
-      hear("a");
+      advance(100ms);
+      reportLoad("a");
       if (Row.Again && Passed == 1000ms)
         Coordinator.submit(request(1, Row.Name), 2, Now);
     }
--- a/tests/entry/lease_hunt_test.cpp
+++ b/tests/entry/lease_hunt_test.cpp
@@ -19,16 +19,16 @@
 constexpr std::uint64_t PlantedSeeds = 3000;
 
 /// Plays a story in which workers, and in some all hosts, start again.
-bool isBadWithRestarts(std::uint64_t Seed) {
-  LeaseStoryOptions Options = LeaseStory::options(Seed);
-  Options.MostWorkerCrashes = 6;
+bool failsWithRestarts(std::uint64_t Seed) {
+  LeaseScenarioOptions Options = LeaseScenario::options(Seed);
+  Options.MaxWorkerCrashes = 6;
   Options.World.WorkersKeepId = Seed % 4 != 0;
   Options.PowerLoss = Seed % 2 == 0;
-  LeaseStory Story(Options);
-  std::string Found = Story.play();
+  LeaseScenario Scenario(Options);
+  std::string Found = Scenario.run();
   if (!Found.empty())
     UT_PRINT(
-        fmt::format("seed {}: {}{}", Seed, Found, Story.describe()).c_str());
+        fmt::format("seed {}: {}{}", Seed, Found, Scenario.describe()).c_str());
   return !Found.empty();
 }
 
@@ -42,15 +42,15 @@
   std::uint64_t Jobs = 0;
   std::uint32_t Bad = 0;
   for (std::uint64_t Seed = Seeds.First; Seed <= Seeds.Last; ++Seed) {
-    LeaseStory Story(LeaseStory::options(Seed));
-    std::string Found = Story.play();
-    Completed += Story.completed();
-    Jobs += Story.jobs();
+    LeaseScenario Scenario(LeaseScenario::options(Seed));
+    std::string Found = Scenario.run();
+    Completed += Scenario.completed();
+    Jobs += Scenario.jobs();
     if (Found.empty())
       continue;
     ++Bad;
     UT_PRINT(
-        fmt::format("seed {}: {}{}", Seed, Found, Story.describe()).c_str());
+        fmt::format("seed {}: {}{}", Seed, Found, Scenario.describe()).c_str());
   }
   LONGS_EQUAL(0, Bad);
   // What never ends when all is calm again would be hidden by a check by story.
@@ -63,7 +63,7 @@
   SeedRange Seeds = seedRange(DefaultSeeds);
   std::uint32_t Bad = 0;
   for (std::uint64_t Seed = Seeds.First; Seed <= Seeds.Last; ++Seed)
-    Bad += isBadWithRestarts(Seed) ? 1 : 0;
+    Bad += failsWithRestarts(Seed) ? 1 : 0;
   LONGS_EQUAL(0, Bad);
 }
 
@@ -72,7 +72,7 @@
 TEST(LeaseHuntTest, ALateStartIsNotBegunByTheNextLifeOfItsId) {
   std::uint32_t Bad = 0;
   for (std::uint64_t Seed : {511, 1785, 2190, 4957})
-    Bad += isBadWithRestarts(Seed) ? 1 : 0;
+    Bad += failsWithRestarts(Seed) ? 1 : 0;
   LONGS_EQUAL(0, Bad);
 }
 
@@ -80,53 +80,55 @@
 TEST(LeaseHuntTest, TheHuntSeesPlantedFaults) {
   struct Row {
     const char *Name;
-    void (*Plant)(LeaseStoryOptions &Options);
+    void (*Plant)(LeaseScenarioOptions &Options);
   };
   const Row Rows[] = {
       {"leases count from the receipt of a message",
-       [](LeaseStoryOptions &Options) {
+       [](LeaseScenarioOptions &Options) {
          Options.World.Keeper.LeasesCountFromEcho = false;
        }},
       {"a worker's lease outlasts those of its runs",
-       [](LeaseStoryOptions &Options) {
+       [](LeaseScenarioOptions &Options) {
          Options.World.Keeper.StopAllowance = 1h;
        }},
       {"an entry's lease is too long",
-       [](LeaseStoryOptions &Options) {
+       [](LeaseScenarioOptions &Options) {
          Options.World.Keeper.EntryLease = 1600ms;
        }},
       {"callers do not wait",
-       [](LeaseStoryOptions &Options) { Options.Callers.ResubmitAfter = 0ms; }},
+       [](LeaseScenarioOptions &Options) {
+         Options.Callers.ResubmitAfter = 0ms;
+       }},
       {"a silent worker's clock is taken to be right",
-       [](LeaseStoryOptions &Options) {
+       [](LeaseScenarioOptions &Options) {
          Options.World.Keeper.Session.LapseSlack = 0ms;
        }},
       {"a confirmed stop counts as an end",
-       [](LeaseStoryOptions &Options) {
+       [](LeaseScenarioOptions &Options) {
          Options.World.Keeper.Session.StopTakes = 0ms;
        }},
       {"a placement on its way is taken for missing",
-       [](LeaseStoryOptions &Options) {
-         Options.World.Coordinator.InTransit = 0ms;
-         Options.World.Coordinator.MissingLimit = 0ms;
+       [](LeaseScenarioOptions &Options) {
+         Options.World.Coordinator.MaxTransitTime = 0ms;
+         Options.World.Coordinator.MissingTimeout = 0ms;
        }},
       {"placements that have ended are forgotten",
-       [](LeaseStoryOptions &Options) {
+       [](LeaseScenarioOptions &Options) {
          Options.World.Keeper.OrderMemory = 0ms;
        }},
       {"an entry that stood still does not look whether its callers are there",
-       [](LeaseStoryOptions &Options) {
-         Options.World.Coordinator.BehindMemory = -1ms;
+       [](LeaseScenarioOptions &Options) {
+         Options.World.Coordinator.CatchUpPeriod = -1ms;
        }},
   };
   for (const Row &Row : Rows) {
     std::uint64_t SeenAt = 0;
     for (std::uint64_t Seed = 1; SeenAt == 0 && Seed <= PlantedSeeds; ++Seed) {
-      LeaseStoryOptions Options = LeaseStory::options(Seed);
+      LeaseScenarioOptions Options = LeaseScenario::options(Seed);
       Row.Plant(Options);
-      LeaseStory Story(Options);
-      Story.play();
-      if (Story.doubledRuns() > 0)
+      LeaseScenario Scenario(Options);
+      Scenario.run();
+      if (Scenario.doubledRuns() > 0)
         SeenAt = Seed;
     }
     CHECK_TEXT(SeenAt > 0, Row.Name);
--- a/tests/entry/lease_scenario.cpp
+++ b/tests/entry/lease_scenario.cpp
@@ -9,14 +9,14 @@
 
 namespace {
 
-constexpr std::chrono::milliseconds TroubleTime{9000};
-constexpr std::chrono::milliseconds CalmTime{28000};
+constexpr std::chrono::milliseconds FaultPeriod{9000};
+constexpr std::chrono::milliseconds RecoveryPeriod{28000};
 constexpr std::uint32_t Jobs = 40;
 /// Faults come in clusters: what one of them does not break, two within a
 /// lease may.
-constexpr std::uint32_t MostClusters = 6;
-constexpr std::uint32_t MostInCluster = 5;
-constexpr std::chrono::milliseconds ClusterTime{1200};
+constexpr std::uint32_t MaxClusters = 6;
+constexpr std::uint32_t MaxFaultsPerCluster = 5;
+constexpr std::chrono::milliseconds ClusterDuration{1200};
 /// Longer ones are alive for more of the faults.
 constexpr std::chrono::milliseconds Lengths[] = {60ms, 200ms, 900ms, 3s, 3s};
 
@@ -29,8 +29,8 @@
 
 } // namespace
 
-LeaseStoryOptions LeaseStory::options(std::uint64_t Seed) {
-  LeaseStoryOptions Options;
+LeaseScenarioOptions LeaseScenario::options(std::uint64_t Seed) {
+  LeaseScenarioOptions Options;
   Options.World.Seed = Seed;
   Options.World.Entries = 2 + Seed % 2;
   Options.World.Agents = 2 + Seed % 3;
@@ -39,26 +39,26 @@
   return Options;
 }
 
-LeaseStory::LeaseStory(const LeaseStoryOptions &Options)
+LeaseScenario::LeaseScenario(const LeaseScenarioOptions &Options)
     : Random(Options.World.Seed), Options(Options), World(Options.World) {
   this->World.world().setFilter([this](const PeerRef &From, const PeerRef &To,
                                        const peer::Message &) -> Duration {
-    auto Held = this->HeldUpUntil.find({From.Node, To.Node});
-    if (Held == this->HeldUpUntil.end())
+    auto Held = this->DelayedUntil.find({From.Node, To.Node});
+    if (Held == this->DelayedUntil.end())
       return Duration(0);
     TimePoint Now = this->World.world().now().Steady;
     return std::max(Held->second - Now, Duration(0));
   });
 }
 
-std::chrono::milliseconds LeaseStory::draw(std::chrono::milliseconds Least,
-                                           std::chrono::milliseconds Most) {
-  auto Span = static_cast<std::uint64_t>((Most - Least).count()) + 1;
-  return Least + std::chrono::milliseconds(
-                     static_cast<std::int64_t>(this->Random() % Span));
+std::chrono::milliseconds LeaseScenario::draw(std::chrono::milliseconds Min,
+                                              std::chrono::milliseconds Max) {
+  auto Span = static_cast<std::uint64_t>((Max - Min).count()) + 1;
+  return Min + std::chrono::milliseconds(
+                   static_cast<std::int64_t>(this->Random() % Span));
 }
 
-void LeaseStory::note(const std::string &What) {
+void LeaseScenario::logFault(const std::string &What) {
   this->Log += fmt::format(
       "  {} ms: {}\n",
       millisBetween(this->World.begun(), this->World.world().now().Steady),
@@ -67,94 +67,95 @@
 
 // ---- Faults ----
 
-std::size_t LeaseStory::pickEntry(const Focus &Near) {
+std::size_t LeaseScenario::pickEntry(const Focus &Target) {
   bool Other = this->Random() % 3 == 0;
-  return Other ? this->Random() % this->World.entries() : Near.Entry;
+  return Other ? this->Random() % this->World.entries() : Target.Entry;
 }
 
-std::size_t LeaseStory::pickAgent(const Focus &Near) {
+std::size_t LeaseScenario::pickAgent(const Focus &Target) {
   bool Other = this->Random() % 3 == 0;
-  return Other ? this->Random() % this->World.agents() : Near.Agent;
+  return Other ? this->Random() % this->World.agents() : Target.Agent;
 }
 
-void LeaseStory::planCluster() {
-  Focus Near{this->Random() % this->World.entries(),
-             this->Random() % this->World.agents()};
-  std::chrono::milliseconds At = this->draw(0ms, TroubleTime);
-  std::uint64_t Faults = 1 + this->Random() % MostInCluster;
+void LeaseScenario::planCluster() {
+  Focus Target{this->Random() % this->World.entries(),
+               this->Random() % this->World.agents()};
+  std::chrono::milliseconds At = this->draw(0ms, FaultPeriod);
+  std::uint64_t Faults = 1 + this->Random() % MaxFaultsPerCluster;
   for (std::uint64_t I = 0; I < Faults; ++I)
-    this->World.world().after(At + this->draw(0ms, ClusterTime),
-                              [this, Near] { this->causeFault(Near); });
+    this->World.world().after(At + this->draw(0ms, ClusterDuration),
+                              [this, Target] { this->causeFault(Target); });
 }
 
-void LeaseStory::causeFault(const Focus &Near) {
+void LeaseScenario::causeFault(const Focus &Target) {
   switch (this->Random() % 8) {
   case 0:
   case 1:
   case 2:
-    this->silence(Near);
+    this->blockLinks(Target);
     return;
   case 3:
   case 4:
-    this->freeze(Near);
+    this->freeze(Target);
     return;
   case 5:
-    this->kill(Near);
+    this->kill(Target);
     return;
   case 6:
-    this->loseCalls(Near);
+    this->injectCallFaults(Target);
     return;
   default:
-    this->makeNoise();
+    this->injectNetworkFaults();
   }
 }
 
-void LeaseStory::silence(const Focus &Near) {
+void LeaseScenario::blockLinks(const Focus &Target) {
   bool ToAgents = this->Random() % 3 != 0;
   bool FromAgents = !ToAgents || this->Random() % 2 == 0;
-  bool HeldUp = this->Random() % 3 == 0;
+  bool IsDelayed = this->Random() % 3 == 0;
   // One link, or all of an entry's or of an agent's.
   std::uint64_t Scope = this->Random() % 3;
-  std::size_t Entry = this->pickEntry(Near);
-  std::size_t Agent = this->pickAgent(Near);
+  std::size_t Entry = this->pickEntry(Target);
+  std::size_t Agent = this->pickAgent(Target);
   std::chrono::milliseconds Length = this->draw(200ms, 4s);
   for (std::size_t E = 0; E < this->World.entries(); ++E)
     for (std::size_t A = 0; A < this->World.agents(); ++A) {
       bool Meant = (Scope == 1 || E == Entry) && (Scope == 2 || A == Agent);
       if (Meant && ToAgents)
-        this->silenceLink({entryName(E), agentName(A)}, HeldUp, Length);
+        this->blockLink({entryName(E), agentName(A)}, IsDelayed, Length);
       if (Meant && FromAgents)
-        this->silenceLink({agentName(A), entryName(E)}, HeldUp, Length);
+        this->blockLink({agentName(A), entryName(E)}, IsDelayed, Length);
     }
 }
 
-void LeaseStory::silenceLink(const Link &Way, bool HeldUp,
-                             std::chrono::milliseconds Length) {
-  this->note(fmt::format("{} to {} silent for {} ms{}", Way.first, Way.second,
-                         Length.count(), HeldUp ? ", then delivered" : ""));
-  if (HeldUp) {
-    TimePoint &Until = this->HeldUpUntil[Way];
+void LeaseScenario::blockLink(const Link &Way, bool IsDelayed,
+                              std::chrono::milliseconds Length) {
+  this->logFault(fmt::format("{} to {} silent for {} ms{}", Way.first,
+                             Way.second, Length.count(),
+                             IsDelayed ? ", then delivered" : ""));
+  if (IsDelayed) {
+    TimePoint &Until = this->DelayedUntil[Way];
     Until = std::max(Until, this->World.world().now().Steady + Length);
     return;
   }
-  if (this->Cuts[Way]++ == 0)
+  if (this->CutCounts[Way]++ == 0)
     this->World.world().cutOneWay(Way.first, Way.second);
   this->World.world().after(Length, [this, Way] {
-    if (--this->Cuts[Way] == 0)
+    if (--this->CutCounts[Way] == 0)
       this->World.world().mendOneWay(Way.first, Way.second);
   });
 }
 
-void LeaseStory::freeze(const Focus &Near) {
+void LeaseScenario::freeze(const Focus &Target) {
   bool IsEntry = this->Random() % 2 == 0;
-  std::string Node = IsEntry ? entryName(this->pickEntry(Near))
-                             : agentName(this->pickAgent(Near));
+  std::string Node = IsEntry ? entryName(this->pickEntry(Target))
+                             : agentName(this->pickAgent(Target));
   std::chrono::milliseconds Length = this->draw(100ms, 3s);
   ThawOrder Order =
       this->Random() % 2 == 0 ? ThawOrder::AsHeld : ThawOrder::TimersLast;
   if (!this->World.world().isUp(Node))
     return;
-  this->note(
+  this->logFault(
       fmt::format("{} frozen for {} ms{}", Node, Length.count(),
                   Order == ThawOrder::TimersLast ? ", timers last" : ""));
   this->World.world().freeze(Node);
@@ -162,14 +163,15 @@
       Length, [this, Node, Order] { this->World.world().thaw(Node, Order); });
 }
 
-void LeaseStory::kill(const Focus &Near) {
+void LeaseScenario::kill(const Focus &Target) {
   bool IsEntry = this->Random() % 2 == 0;
-  std::size_t Which = IsEntry ? this->pickEntry(Near) : this->pickAgent(Near);
+  std::size_t Which =
+      IsEntry ? this->pickEntry(Target) : this->pickAgent(Target);
   std::chrono::milliseconds Length = this->draw(100ms, 3s);
   std::string Node = IsEntry ? entryName(Which) : agentName(Which);
   if (!this->World.world().isUp(Node))
     return;
-  this->note(fmt::format("{} killed for {} ms", Node, Length.count()));
+  this->logFault(fmt::format("{} killed for {} ms", Node, Length.count()));
   if (IsEntry)
     this->World.entry(Which).kill();
   else
@@ -182,14 +184,14 @@
   });
 }
 
-void LeaseStory::loseCalls(const Focus &Near) {
-  std::size_t Which = this->pickAgent(Near);
+void LeaseScenario::injectCallFaults(const Focus &Target) {
+  std::size_t Which = this->pickAgent(Target);
   std::chrono::milliseconds Length = this->draw(200ms, 4s);
   WorkerCallFaults Faults;
   Faults.LostPermille = static_cast<std::uint32_t>(this->Random() % 400);
   Faults.UnansweredPermille = static_cast<std::uint32_t>(this->Random() % 400);
   Faults.LatePermille = static_cast<std::uint32_t>(this->Random() % 200);
-  this->note(fmt::format(
+  this->logFault(fmt::format(
       "calls of agent-{} lost {}, unanswered {}, late {} of 1000 for {} ms",
       Which, Faults.LostPermille, Faults.UnansweredPermille,
       Faults.LatePermille, Length.count()));
@@ -198,45 +200,47 @@
       Length, [this, Which] { this->World.agent(Which).setCallFaults({}); });
 }
 
-void LeaseStory::makeNoise() {
+void LeaseScenario::injectNetworkFaults() {
   NetworkFaults Faults;
   Faults.LossPermille = static_cast<std::uint32_t>(this->Random() % 200);
   Faults.DoublePermille = static_cast<std::uint32_t>(this->Random() % 300);
   Faults.Jitter = this->draw(1ms, 300ms);
   std::chrono::milliseconds Length = this->draw(200ms, 4s);
-  this->note(fmt::format("{} lost and {} doubled of 1000, {} ms of jitter for "
-                         "{} ms",
-                         Faults.LossPermille, Faults.DoublePermille,
-                         Faults.Jitter.count() / 1000, Length.count()));
+  this->logFault(
+      fmt::format("{} lost and {} doubled of 1000, {} ms of jitter for "
+                  "{} ms",
+                  Faults.LossPermille, Faults.DoublePermille,
+                  Faults.Jitter.count() / 1000, Length.count()));
   this->World.world().setFaults(Faults);
   this->World.world().after(Length,
                             [this] { this->World.world().setFaults({}); });
 }
 
-void LeaseStory::planWorkerCrashes() {
-  if (this->Options.MostWorkerCrashes == 0)
+void LeaseScenario::planWorkerCrashes() {
+  if (this->Options.MaxWorkerCrashes == 0)
     return;
-  std::uint64_t Crashes = 1 + this->Random() % this->Options.MostWorkerCrashes;
+  std::uint64_t Crashes = 1 + this->Random() % this->Options.MaxWorkerCrashes;
   for (std::uint64_t I = 0; I < Crashes; ++I) {
     std::size_t Which = this->Random() % this->World.agents();
     // Some are back before anybody has missed them.
     auto After = this->Random() % 2 == 0 ? this->draw(5ms, 300ms)
                                          : this->draw(300ms, 3s);
     auto Late = this->draw(0ms, 4s);
-    this->World.world().after(this->draw(0ms, TroubleTime), [=, this] {
-      this->note(fmt::format("worker of agent-{} crashes for {} ms, its last "
-                             "announcement comes again after {} ms",
-                             Which, After.count(), Late.count()));
+    this->World.world().after(this->draw(0ms, FaultPeriod), [=, this] {
+      this->logFault(
+          fmt::format("worker of agent-{} crashes for {} ms, its last "
+                      "announcement comes again after {} ms",
+                      Which, After.count(), Late.count()));
       this->World.agent(Which).crashWorker(After, Late);
     });
   }
 }
 
-void LeaseStory::planPowerLoss() {
+void LeaseScenario::planPowerLoss() {
   if (!this->Options.PowerLoss)
     return;
-  this->World.world().after(this->draw(2s, TroubleTime), [this] {
-    this->note("all hosts lose power");
+  this->World.world().after(this->draw(2s, FaultPeriod), [this] {
+    this->logFault("all hosts lose power");
     for (std::size_t E = 0; E < this->World.entries(); ++E) {
       if (!this->World.world().isUp(entryName(E)))
         continue;
@@ -258,7 +262,7 @@
 
 // ---- The story ----
 
-void LeaseStory::planJob(std::chrono::milliseconds At) {
+void LeaseScenario::planJob(std::chrono::milliseconds At) {
   std::chrono::milliseconds Length =
       Lengths[this->Random() % std::size(Lengths)];
   LeasedJobRequest Job;
@@ -279,27 +283,27 @@
       At, [Caller = this->Callers.back().get()] { Caller->begin(); });
 }
 
-std::string LeaseStory::play() {
+std::string LeaseScenario::run() {
   for (std::uint32_t I = 0; I < Jobs; ++I)
-    this->planJob(this->draw(0ms, TroubleTime));
-  std::uint64_t Clusters = 1 + this->Random() % MostClusters;
+    this->planJob(this->draw(0ms, FaultPeriod));
+  std::uint64_t Clusters = 1 + this->Random() % MaxClusters;
   for (std::uint64_t I = 0; I < Clusters; ++I)
     this->planCluster();
   this->planWorkerCrashes();
   this->planPowerLoss();
-  this->World.world().run(TroubleTime + CalmTime);
+  this->World.world().run(FaultPeriod + RecoveryPeriod);
   return this->findings();
 }
 
-std::uint32_t LeaseStory::completed() const {
+std::uint32_t LeaseScenario::completed() const {
   return static_cast<std::uint32_t>(
       std::ranges::count_if(this->Callers, [](const auto &Caller) {
         return Caller->end() == LeasedEnd::Completed;
       }));
 }
 
-std::uint32_t LeaseStory::givenUp() const {
-  if (this->Options.MostWorkerCrashes == 0)
+std::uint32_t LeaseScenario::givenUpAsCrashing() const {
+  if (this->Options.MaxWorkerCrashes == 0)
     return 0;
   return static_cast<std::uint32_t>(
       std::ranges::count_if(this->Callers, [](const auto &Caller) {
@@ -307,7 +311,7 @@
       }));
 }
 
-std::string LeaseStory::findings() const {
+std::string LeaseScenario::findings() const {
   std::string Found;
   if (this->World.doubledRuns() > 0)
     Found += "two runs at once: " +
@@ -326,14 +330,15 @@
                              Entry.name(), Which);
   }
   // A job that is taken for one that crashes workers has an end, too.
-  std::uint32_t Ended = this->completed() + this->givenUp();
+  std::uint32_t Ended = this->completed() + this->givenUpAsCrashing();
   if (Ended * 10 < this->jobs() * 9)
-    Found += fmt::format("{} of {} jobs completed, {} given up\n",
-                         this->completed(), this->jobs(), this->givenUp());
+    Found +=
+        fmt::format("{} of {} jobs completed, {} given up\n", this->completed(),
+                    this->jobs(), this->givenUpAsCrashing());
   return Found;
 }
 
-std::string LeaseStory::describe() const {
+std::string LeaseScenario::describe() const {
   std::string Text = "faults:\n" + this->Log + "callers:\n";
   for (const auto &Caller : this->Callers)
     Text += Caller->log();
--- a/tests/entry/lease_scenario.h
+++ b/tests/entry/lease_scenario.h
@@ -1,5 +1,4 @@
-//===- tests/entry/lease_scenario.h - A random story of faults -----*- C++
-//-*-===//
+//===- tests/entry/lease_scenario.h - Random fault scenario -----*- C++ -*-===//
 ///
 /// \file
 /// One random story of the leased path: jobs of several lengths, and beside
@@ -20,24 +19,24 @@
 
 namespace yardwheel {
 
-struct LeaseStoryOptions {
+struct LeaseScenarioOptions {
   LeasedWorldOptions World;
   PersistentCallerOptions Callers;
   /// Most times that workers crash and start again in a story.
-  std::uint32_t MostWorkerCrashes = 0;
+  std::uint32_t MaxWorkerCrashes = 0;
   /// Whether all hosts lose power at the same moment, once.
   bool PowerLoss = false;
 };
 
-class LeaseStory {
+class LeaseScenario {
 public:
   /// What callers promise and processes are given, for \p Seed.
-  static LeaseStoryOptions options(std::uint64_t Seed);
+  static LeaseScenarioOptions options(std::uint64_t Seed);
 
-  explicit LeaseStory(const LeaseStoryOptions &Options);
+  explicit LeaseScenario(const LeaseScenarioOptions &Options);
 
   /// Plays it to its end. \returns what is wrong, or nothing.
-  std::string play();
+  std::string run();
   /// The faults and what callers saw, a line each.
   std::string describe() const;
   std::uint32_t jobs() const {
@@ -45,46 +44,46 @@
   }
   std::uint32_t completed() const;
   /// Jobs that ended as crashing, in stories with workers that crash.
-  std::uint32_t givenUp() const;
+  std::uint32_t givenUpAsCrashing() const;
   std::uint32_t doubledRuns() const { return this->World.doubledRuns(); }
 
 private:
   using Link = std::pair<std::string, std::string>;
 
-  std::chrono::milliseconds draw(std::chrono::milliseconds Least,
-                                 std::chrono::milliseconds Most);
+  std::chrono::milliseconds draw(std::chrono::milliseconds Min,
+                                 std::chrono::milliseconds Max);
   /// The processes that the faults of one cluster hit more than others.
   struct Focus {
     std::size_t Entry = 0;
     std::size_t Agent = 0;
   };
-  std::size_t pickEntry(const Focus &Near);
-  std::size_t pickAgent(const Focus &Near);
+  std::size_t pickEntry(const Focus &Target);
+  std::size_t pickAgent(const Focus &Target);
   void planCluster();
-  void causeFault(const Focus &Near);
-  void silence(const Focus &Near);
-  void silenceLink(const Link &Way, bool HeldUp,
-                   std::chrono::milliseconds Length);
-  void freeze(const Focus &Near);
-  void kill(const Focus &Near);
-  void loseCalls(const Focus &Near);
-  void makeNoise();
+  void causeFault(const Focus &Target);
+  void blockLinks(const Focus &Target);
+  void blockLink(const Link &Way, bool IsDelayed,
+                 std::chrono::milliseconds Length);
+  void freeze(const Focus &Target);
+  void kill(const Focus &Target);
+  void injectCallFaults(const Focus &Target);
+  void injectNetworkFaults();
   void planWorkerCrashes();
   /// All processes and workers lose power at the same moment, and come back one
   /// after the other.
   void planPowerLoss();
   void planJob(std::chrono::milliseconds At);
-  void note(const std::string &What);
+  void logFault(const std::string &What);
   std::string findings() const;
 
   std::mt19937_64 Random;
-  LeaseStoryOptions Options;
+  LeaseScenarioOptions Options;
   LeasedWorld World;
   std::vector<std::unique_ptr<PersistentCaller>> Callers;
   /// How many silences each direction of a link has now.
-  std::map<Link, int> Cuts;
+  std::map<Link, int> CutCounts;
   /// Until when messages are held up on their way.
-  std::map<Link, TimePoint> HeldUpUntil;
+  std::map<Link, TimePoint> DelayedUntil;
   std::string Log;
 };
 
--- a/tests/entry/left_callers_test.cpp
+++ b/tests/entry/left_callers_test.cpp
@@ -47,7 +47,8 @@
         Options.EntryHandOver = 2ms;
       LeasedWorld World(Options);
       auto HandIn = [&](std::size_t Entry) {
-        return World.handIn(Entry, longJob(), {LongTask}, [](const auto &) {});
+        return World.handIn(Entry, longJob(), {LongTaskDuration},
+                            [](const auto &) {});
       };
       if (Row.TakenBefore) {
         World.entry(0).hangUp(HandIn(0));
@@ -67,7 +68,7 @@
       HandIn(1);
       World.world().run(500ms);
       World.world().thaw("entry-0", ThawOrder::TimersLast);
-      World.world().run(2 * LongTask);
+      World.world().run(2 * LongTaskDuration);
       std::string Case = fmt::format("{}, seed {}", Row.Name, Seed);
       LONGS_EQUAL_TEXT(0, World.doubledRuns(), Case.c_str());
     }
--- a/tests/entry/long_job.h
+++ b/tests/entry/long_job.h
@@ -17,16 +17,16 @@
 /// After an answer or a broken connection, until a caller hands its job in
 /// again.
 inline constexpr std::chrono::milliseconds ResubmitAfter{1300};
-inline constexpr std::chrono::milliseconds LongTask{5000};
+inline constexpr std::chrono::milliseconds LongTaskDuration{5000};
 
 inline LeasedJobRequest longJob() {
   LeasedJobRequest Job;
   Job.Id = "j";
   Job.Route = "long";
   Job.Needs.set_cpu_milli(1000);
-  Job.Estimate = LongTask;
-  Job.Objective = 2 * LongTask;
-  Job.Deadline = 3 * LongTask;
+  Job.Estimate = LongTaskDuration;
+  Job.Objective = 2 * LongTaskDuration;
+  Job.Deadline = 3 * LongTaskDuration;
   Job.MaxAttempts = 2;
   return Job;
 }
--- a/tests/entry/older_callers_test.cpp
+++ b/tests/entry/older_callers_test.cpp
@@ -5,10 +5,10 @@
 using namespace yardwheel;
 using namespace std::chrono_literals;
 
-TEST_GROUP_BASE(OlderCallersTest, CoordinatorBench){
+TEST_GROUP_BASE(OlderCallersTest, CoordinatorFixture){
     /// Meanwhile the agent is heard.
-    void runUntil(TimePoint End){while (Now.Steady < End){pass(100ms);
-hear("a");
+    void runUntil(TimePoint End){while (Now.Steady < End){advance(100ms);
+reportLoad("a");
 }
 }
 }
--- a/tests/entry/overlapping_runs_test.cpp
+++ b/tests/entry/overlapping_runs_test.cpp
@@ -44,7 +44,7 @@
       Options.Seed = Seed;
       Options.Entries = 2;
       LeasedWorld World(Options);
-      World.submit(0, longJob(), {LongTask}, 2 * LongTask);
+      World.submit(0, longJob(), {LongTaskDuration}, 2 * LongTaskDuration);
       World.world().run(300ms);
       World.world().setFilter([&](const PeerRef &From, const PeerRef &To,
                                   const peer::Message &Message) -> Duration {
@@ -60,8 +60,8 @@
         World.world().run(10ms);
       LONGS_EQUAL_TEXT(1, World.outcomes().at("long").Failed, Case.c_str());
       World.world().run(ResubmitAfter);
-      World.submit(1, longJob(), {LongTask}, 2 * LongTask);
-      World.world().run(2 * LongTask);
+      World.submit(1, longJob(), {LongTaskDuration}, 2 * LongTaskDuration);
+      World.world().run(2 * LongTaskDuration);
       LONGS_EQUAL_TEXT(0, World.doubledRuns(), Case.c_str());
       LONGS_EQUAL_TEXT(1, World.outcomes().at("long").InTime, Case.c_str());
     }
--- a/tests/entry/placement_leases_test.cpp
+++ b/tests/entry/placement_leases_test.cpp
@@ -15,7 +15,7 @@
 using Orders = std::set<std::uint64_t>;
 
 TEST_GROUP_BASE(PlacementLeasesTest,
-                CoordinatorBench){std::uint64_t place(const char *Id){
+                CoordinatorFixture){std::uint64_t place(const char *Id){
     Coordinator.submit(patientRequest(1, Id), 1, Now);
 return Sink.Dispatches.back().second.tasks(0).order();
 }
@@ -23,9 +23,9 @@
 Orders named() {
   int Before = Sink.Renewals["a"];
   for (int I = 0; I < 150 && Sink.Renewals["a"] == Before; ++I)
-    pass(20ms);
+    advance(20ms);
   CHECK(Sink.Renewals["a"] > Before);
-  return Sink.Named["a"];
+  return Sink.RenewedOrders["a"];
 }
 }
 ;
@@ -45,12 +45,12 @@
       {"its deadline has passed",
        [&] {
          for (int I = 0; I < 20; ++I) {
-           pass(100ms);
-           hear("a");
+           advance(100ms);
+           reportLoad("a");
          }
        },
        false},
-      {"its agent has been silent", [&] { pass(1000ms); }, false},
+      {"its agent has been silent", [&] { advance(1000ms); }, false},
       {"done", [&] { answer(Sink.Dispatches.size() - 1, peer::LEASED_DONE); },
        false}};
   for (const Row &Row : Rows) {
@@ -59,7 +59,7 @@
     Row.End();
     LONGS_EQUAL_TEXT(Row.IsNamed, named().contains(Order), Row.Name);
     answer(Sink.Dispatches.size() - 1, peer::LEASED_DONE);
-    pass(6000ms);
+    advance(6000ms);
     LONGS_EQUAL_TEXT(0, Coordinator.inFlight(), Row.Name);
   }
 }
@@ -83,7 +83,7 @@
   LONGS_EQUAL(1, Sink.Dispatches.back().second.renewed_size());
   Coordinator.cancel("first", "test", Now);
   Now.Steady += 300ms;
-  loseDispatch(1);
+  failDispatchDelivery(1);
   LONGS_EQUAL(3, Sink.Dispatches.size());
   LONGS_EQUAL(0, Sink.Dispatches.back().second.renewed_size());
 }
@@ -93,7 +93,7 @@
 TEST(PlacementLeasesTest, AnEntryThatStoodStillRenewsForNoCallerThatHasGone) {
   struct Row {
     const char *Name;
-    bool CallersThere;
+    bool CallersConnected;
     bool WasBehind;
     bool IsNamed;
   };
@@ -102,16 +102,17 @@
                       {"the entry kept up", false, false, true}};
   for (const Row &Row : Rows) {
     addAgent("a");
-    Answers.CallersThere = true;
+    Answers.CallersConnected = true;
     std::uint64_t Order = place("j");
     Sink.Stops.clear();
     Now.Steady += 780ms;
-    Answers.CallersThere = Row.CallersThere;
+    Answers.CallersConnected = Row.CallersConnected;
     Coordinator.tick(Now, Row.WasBehind ? Now.Steady : TimePoint::min());
-    LONGS_EQUAL_TEXT(Row.IsNamed, Sink.Named["a"].contains(Order), Row.Name);
+    LONGS_EQUAL_TEXT(Row.IsNamed, Sink.RenewedOrders["a"].contains(Order),
+                     Row.Name);
     LONGS_EQUAL_TEXT(Row.IsNamed ? 0 : 1, Sink.Stops.size(), Row.Name);
     answer(Sink.Dispatches.size() - 1, peer::LEASED_DONE);
-    pass(6000ms);
+    advance(6000ms);
     LONGS_EQUAL_TEXT(0, Coordinator.inFlight(), Row.Name);
   }
 }
@@ -120,8 +121,8 @@
 TEST(PlacementLeasesTest, AnAgentThatIsTakenForLostIsToldToStop) {
   addAgent("a");
   std::uint64_t Order = place("j");
-  pass(1000ms);
+  advance(1000ms);
   LONGS_EQUAL(1, Answers.Answers.size());
   LONGS_EQUAL(1, Sink.Stops.size());
-  CHECK(Sink.Stopped == Orders{Order});
+  CHECK(Sink.StoppedOrders == Orders{Order});
 }
