--- a/entry/lease_coordinator.cpp
+++ b/entry/lease_coordinator.cpp
@@ -25,7 +25,7 @@
   return Count;
 }
 
-// ---- Tasks come back ----
+// ---- Messages from agents and control ----
 
 void LeaseCoordinator::onMember(const peer::Member &Member, Instant Now) {
   if (Member.role() != peer::ROLE_AGENT)
@@ -46,7 +46,7 @@
   bool Gone = Lost && !this->Workers.find(Member.name())->Alive;
   if (Gone)
     this->giveUpAgentTasks(Member.name(), /*OnlyOldLives=*/false,
-                           "control lost it", Now);
+                           "control reported it lost", Now);
   else if (Replaced)
     this->onRestarted(Member.name(), Now);
 }
@@ -112,7 +112,7 @@
     this->settle(*Target, JobTask, TaskPhase::Done);
     break;
   case peer::LEASED_NOT_STARTED:
-    // It is lost with the life that it was sent to.
+    // The task is given up with the incarnation that it was sent to.
     if (!provesNotStarted(JobTask, Update))
       return;
     this->onNotStarted(*Target, JobTask, Agent, Update, Now);
@@ -177,7 +177,7 @@
                  {LeasedEnd::Unknown,
                   "start",
                   Agent,
-                  "a run of an earlier hand-in has not ended",
+                  "a run of an earlier submission has not ended",
                   {}},
                  Now);
     return;
@@ -193,8 +193,8 @@
                        Update.refusal() == peer::REFUSAL_NO_WORKER;
   if (WorkerAtFault && this->Workers.onFailure(Agent, Now.Steady))
     ++this->Counters.Ejections;
-  // Neither says anything against the agent, which has just sent a new stamp
-  // and its present load.
+  // Neither refusal is a reason to avoid the agent, which has just sent a new
+  // stamp and its current load.
   bool MayComeBack = Update.refusal() == peer::REFUSAL_STALE ||
                      Update.refusal() == peer::REFUSAL_BUSY;
   if (!MayComeBack)
@@ -230,7 +230,8 @@
     this->Crashes.noteLost(Target.Request.Id, Update.index(), Agent,
                            JobTask.Incarnation, Now.Steady);
   this->settle(Target, JobTask, TaskPhase::Unplaced);
-  // It looks the emptiest, so without this the task would go there again.
+  // This worker looks the least loaded, so without this the task would be sent
+  // there again.
   bool WorkerAtFault =
       JobTask.Stalled || Update.refusal() == peer::REFUSAL_WORKER;
   if (WorkerAtFault) {
@@ -271,7 +272,7 @@
                  Now);
     return;
   }
-  // Another worker, if there is one.
+  // Retries on another worker if there is one.
   JobTask.Avoid = {Agent};
   if (!this->Workers.hasChoice(Target.Request, JobTask.Avoid, Now.Steady))
     JobTask.Avoid.clear();
@@ -285,14 +286,15 @@
   JobTask.Phase = Next;
 }
 
-// ---- Jobs end ----
+// ---- End of jobs ----
 
 void LeaseCoordinator::giveUp(Job &Target, LeasedAnswer Answer, Instant Now) {
   Target.Phase = JobPhase::GivingUp;
   Target.PendingAnswer = std::move(Answer);
   Target.GiveUpAt = Now.Steady + this->Options.ProofTimeout;
   this->stopTasks(Target);
-  // A declared end needs no proof of what did not run.
+  // A failed job, or one that may have run, needs no proof that nothing has
+  // run.
   if (Target.PendingAnswer.End == LeasedEnd::Failed || Target.MayHaveRun)
     Target.GiveUpAt = Now.Steady;
   this->finishIfProven(Target, Now);
--- a/entry/lease_coordinator.h
+++ b/entry/lease_coordinator.h
@@ -1,11 +1,13 @@
 //===- entry/lease_coordinator.h - Runs best-effort jobs --------*- C++ -*-===//
 ///
 /// \file
-/// Coordinates the best-effort jobs that this entry has taken: places their
-/// tasks, renews its leases at the agents, places a task again only on proof
-/// that its last run has ended or never began, and answers each caller once.
+/// Coordinates the best-effort jobs that this entry has accepted: places their
+/// tasks, renews the leases at the agents, and answers each caller exactly
+/// once. A task is placed again only after proof that its previous run has
+/// ended or never started.
 ///
-/// Single-threaded, without sockets or clocks.
+/// Single-threaded; uses neither sockets nor clocks, the caller passes in the
+/// time.
 ///
 //===----------------------------------------------------------------------===//
 #ifndef YARDWHEEL_ENTRY_LEASE_COORDINATOR_H
@@ -33,89 +35,100 @@
 namespace yardwheel {
 
 struct CoordinatorOptions {
-  /// Between two renewals of the lease at an agent that holds our tasks. Less
-  /// than half of the agents' lease, so that one lost message ends none.
+  /// Interval between lease renewals to an agent that holds tasks of this
+  /// entry. Less than half of the agents' lease, so that no lease expires when
+  /// a single message is lost.
   std::chrono::milliseconds RenewalInterval{200};
-  /// Between two questions to an agent that holds none, for its load.
+  /// Longest interval between load probes to an agent that holds no tasks of
+  /// this entry.
   std::chrono::milliseconds IdleProbeInterval{2000};
-  /// The shortest such time, as a share of it. Each time is drawn between the
-  /// two: agents that were met together are else all asked in one tick, and an
-  /// entry of a tenth of a core then stands still for a quarter of a second.
+  /// Shortest interval between idle probes, as a share of IdleProbeInterval;
+  /// each interval is drawn at random between the two. Otherwise agents that
+  /// were discovered together would all be probed in one tick, which stalls an
+  /// entry with a tenth of a core for a quarter of a second.
   double MinIdleProbeShare = 0.75;
-  /// Between two questions whether an agent that fell silent is back.
+  /// Interval between probes to an unreachable or suspect agent.
   std::chrono::milliseconds UnreachableProbeInterval{500};
-  /// Between two questions to an agent for what it holds of ours, while a task
-  /// has been there for longer than most last.
+  /// Interval between renewals that ask an agent to list the tasks it holds for
+  /// this entry, while one of them has been there for longer than
+  /// MaxTransitTime.
   std::chrono::milliseconds HeldListInterval{500};
-  /// An agent that has been sent tasks and is not heard for this long is asked
-  /// whether it is there: a little longer than most tasks last.
+  /// An agent that has been sent tasks is probed when nothing is received from
+  /// it for this long. A little longer than most tasks last.
   std::chrono::milliseconds DispatchProbeDelay{250};
-  /// An agent that leaves a question unanswered for this long gets no tasks
-  /// until it is heard: many round trips between data centres.
+  /// An agent that leaves a probe unanswered for this long is suspect: it gets
+  /// no tasks until a message arrives from it. Many round trips between data
+  /// centres.
   std::chrono::milliseconds SuspectTimeout{100};
-  /// The same for another connection, as this one may have gone silent.
+  /// An agent with tasks that leaves a probe unanswered for this long is
+  /// connected to anew, as the connection may be dead.
   std::chrono::milliseconds ReconnectTimeout{200};
-  /// The same for taking it for lost. Well below the agents' lease.
+  /// An agent with tasks that leaves a probe unanswered for this long is
+  /// considered lost. Well below the agents' lease.
   std::chrono::milliseconds AgentLossTimeout{600};
-  /// A task that runs this many times as long as the longest of its job that
-  /// is done has stalled. Tasks of one job differ by some tens of percent.
+  /// A task that runs this many times as long as the longest completed task of
+  /// its job has stalled. Run times of tasks of one job differ by some tens of
+  /// percent.
   double StallFactor = 2.5;
-  /// The same against its declared time, while none of its job is done;
-  /// declared times are often off by half.
+  /// The same factor on the declared run time, used while no task of the job
+  /// has completed. Larger, since declared times are often off by half.
   double StallEstimateFactor = 5;
-  /// Added to both, for what is not the task's own time.
+  /// Added to both limits, for the time that is not spent in the task itself.
   std::chrono::milliseconds StallSlack{100};
-  /// After this process was behind, for how long streams that end say nothing
-  /// about their peers: it may not have answered in time itself.
+  /// For this long after the process was behind on its input, undelivered
+  /// messages are not held against agents: this entry may not have answered in
+  /// time itself.
   std::chrono::milliseconds CatchUpPeriod{1000};
-  /// Between two looks, in such a time, whether callers are still there.
+  /// Interval between checks, during CatchUpPeriod, whether callers are still
+  /// connected.
   std::chrono::milliseconds CallerCheckInterval{200};
-  /// Before an agent is asked again to stop a stalled task.
+  /// Delay before an agent is asked again to stop a stalled task.
   std::chrono::milliseconds StallRetryInterval{250};
-  /// After an agent has restarted, before what its last life had is lost: some
-  /// round trips between data centres.
+  /// Delay after the restart of an agent before the tasks sent to its previous
+  /// incarnation are given up. Some round trips between data centres.
   std::chrono::milliseconds RestartGrace{60};
-  /// A placement younger than this may still be on its way to its agent, which
-  /// refuses it once its stamp is older than the agents' lease.
+  /// A placement younger than this may still be in transit. Its agent refuses
+  /// it once its stamp is older than the agents' lease.
   std::chrono::milliseconds MaxTransitTime{1000};
-  /// How long an agent must not have listed a placement before it is taken for
-  /// ended: the update that tells its end may be sent a second time.
+  /// A placement that its agent has not listed for this long is considered
+  /// ended. Leaves time for the update that reports its end to be sent a second
+  /// time.
   std::chrono::milliseconds MissingTimeout{500};
-  /// Times that a task is placed before its job is given up.
+  /// Maximum number of placements of a task; then its job is given up.
   std::uint32_t MaxPlacements = 12;
-  /// Times that tasks of a job are sent to an agent that may refuse them for
-  /// another to be asked; then they wait where they are sent. A refusal costs a
-  /// round trip, a queue what is left of somebody's task: at nine tenths of the
-  /// room, 51 entries and 240 workers had 0.93 of the credit with eight, 0.913
-  /// with two (virtual time, two seeds).
+  /// Maximum number of retries of a job in which a busy agent may still refuse
+  /// its tasks so that another is tried; after that they wait in the queue of
+  /// the agent that they are sent to. A refusal costs one round trip, whereas a
+  /// queued task waits for the rest of another task; so several retries pay off
+  /// at high load.
   std::uint32_t MaxRefusableRetries = 6;
-  /// A job that is given up waits this long for proof that none of its tasks
-  /// has started; some round trips between data centres.
+  /// How long a job that is given up waits for proof that none of its tasks has
+  /// started. Some round trips between data centres.
   std::chrono::milliseconds ProofTimeout{40};
-  /// How long it is remembered that a job has run: longer than its caller takes
-  /// to hand it in again.
+  /// How long the fact that a job has run is kept: longer than its caller takes
+  /// to resubmit it.
   std::chrono::milliseconds RunRetention{5000};
-  /// What a caller is told when a job was refused for want of room: about the
-  /// time in which a full worker has emptied.
+  /// Retry delay sent to the caller of a job that was refused for lack of
+  /// capacity. About the time in which a full worker finishes its tasks.
   std::chrono::milliseconds RetryAfter{1000};
   LeaseBoardOptions Workers;
   ShedderOptions Shedder;
   WaitingOptions Waiting;
   CrashRecordOptions Crashes;
   std::uint64_t Seed = 1;
-  /// The placements of this life of the entry have numbers above this one,
-  /// and above those of its earlier lives.
+  /// Placements of this incarnation of the entry get numbers above this one,
+  /// which is above all numbers of earlier incarnations.
   std::uint64_t FirstOrder = 0;
 };
 
-/// Hears how jobs end.
+/// Receives the results of jobs.
 class LeasedAnswerSink {
 public:
   virtual ~LeasedAnswerSink() = default;
   virtual void onLeasedAnswer(LeaseTicket Ticket,
                               const LeasedAnswer &Answer) = 0;
-  /// Whether the caller has not closed its connection, as far as the host
-  /// knows. That it has may still lie unread in a process that stood still.
+  /// Whether the caller's connection is still open according to the operating
+  /// system. A process that was stalled may not have read the close yet.
   virtual bool hasCaller(LeaseTicket Ticket) const { return true; }
 };
 
@@ -129,7 +142,7 @@
   std::uint64_t AgentsLost = 0;
   std::uint64_t Ejections = 0;
   std::uint64_t JobsShed = 0;
-  /// Ended since a task of theirs has crashed too many workers.
+  /// Jobs that failed because one of their tasks has crashed too many workers.
   std::uint64_t JobsCrashing = 0;
 };
 
@@ -139,43 +152,46 @@
                    LeasedAnswerSink &Answers);
 
   void submit(LeasedJobRequest Request, LeaseTicket Waiter, Instant Now);
-  /// A caller has gone. The job ends when nobody else waits for it.
+  /// Removes a caller that has disconnected. The job is cancelled if no other
+  /// caller waits for it.
   void withdraw(const std::string &Id, LeaseTicket Waiter,
                 const std::string &Reason, Instant Now);
-  /// The job is wanted no longer, whoever waits for it.
+  /// Cancels the job for all of its callers.
   void cancel(const std::string &Id, const std::string &Reason, Instant Now);
-  /// Gives up all jobs, as this process ends.
+  /// Cancels all jobs, at shutdown.
   void cancelAll(const std::string &Reason, Instant Now);
   void onMember(const peer::Member &Member, Instant Now);
   void onMessage(const PeerRef &From, const peer::Message &Message,
                  Instant Now);
-  /// Sends again what may not have arrived, once; an agent that is not heard
-  /// in between is taken for lost when that fails too.
+  /// Resends undelivered messages once. An agent from which nothing is received
+  /// in between is considered lost when the second attempt fails too.
   void onUndelivered(const Undelivered &Lost, Instant Now);
-  /// Places again what messages since the last call have made necessary, all
-  /// of a job at once. To be called after each batch of messages.
+  /// Places the tasks that became unplaced since the last call, all tasks of a
+  /// job together. Must be called after each batch of messages.
   void placeScheduled(Instant Now);
-  /// \param LastBehind Until when this process did not keep up with its own
-  /// input. What others left unanswered until then may lie here unread.
+  /// \param LastBehind When this process was last behind on its input. Answers
+  /// to earlier messages may have arrived without having been read.
   void tick(Instant Now, TimePoint LastBehind);
   void tick(Instant Now) { this->tick(Now, TimePoint::min()); }
-  /// Tells until when this process was behind, before anything is done that
-  /// may have waited here. Then jobs whose callers have gone meanwhile end,
-  /// before a message renews what they have at agents.
+  /// Records when this process was last behind on its input. Must be called
+  /// before any input that may have waited is handled: it ends jobs whose
+  /// callers have disconnected meanwhile, before a message renews their leases
+  /// at agents.
   void noteBehind(TimePoint NewLastBehind, Instant Now);
 
-  /// Whether a job with this id is under way here.
+  /// Whether a job with this id is in progress at this entry.
   bool isRunning(const std::string &Id) const {
     return this->Jobs.contains(Id);
   }
-  /// Whether a resubmission of this job would only wait for the runs under way,
-  /// and start nothing.
+  /// Whether a resubmission of this job would join the runs in progress and
+  /// start no new ones.
   bool mayJoin(const std::string &Id) const;
-  /// Jobs of a route that have not begun, as far as is known here.
+  /// Number of jobs of a route that have not started as far as this entry
+  /// knows.
   std::uint32_t pending(const std::string &Route) const;
-  /// Jobs whose callers wait.
+  /// Number of submissions that wait for an answer.
   std::size_t inFlight() const { return this->WaitingCallers; }
-  /// Whether any worker can be reached; without one every job is refused.
+  /// Whether any worker is reachable. Without one, every job is refused.
   bool hasWorkers() const { return this->Workers.hasReachable(); }
   const LeaseBoard &workerTable() const { return this->Workers; }
   const CoordinatorCounters &counters() const { return this->Counters; }
@@ -186,26 +202,27 @@
   struct Task {
     TaskPhase Phase = TaskPhase::Unplaced;
     std::string Agent;
-    /// The agent's life that it was sent to.
+    /// Incarnation of the agent that the task was sent to.
     std::uint64_t Incarnation = 0;
-    /// When its agent is next asked whether it has stalled.
+    /// When its agent is next asked to stop it if it has stalled.
     TimePoint StallCheckAt = TimePoint::max();
-    /// Its agent has been asked to stop it as stalled.
+    /// Whether its agent has been asked to stop it as stalled.
     bool Stalled = false;
     std::uint32_t Attempt = 0;
-    /// Names the present placement.
+    /// Number of the current placement.
     std::uint64_t Order = 0;
-    /// It was sent more than once, perhaps to several lives of its agent.
+    /// Whether its dispatch was sent more than once, possibly to several
+    /// incarnations of the agent.
     bool Resent = false;
-    /// When its dispatch was last sent.
+    /// When the dispatch was last sent.
     TimePoint PlacedAt;
-    /// Since when its agent does not list it, if it does not.
+    /// Since when its agent has not listed it; TimePoint::max() while it does.
     TimePoint MissingSince = TimePoint::max();
     std::uint32_t Failures = 0;
     std::set<std::string> Avoid;
   };
   enum class JobPhase { Running, GivingUp, Answered };
-  /// One hand-in of a job, and until when it waits for the answer.
+  /// One submission of a job and its deadline.
   struct Caller {
     LeaseTicket Ticket = 0;
     TimePoint Until;
@@ -217,26 +234,27 @@
     JobPhase Phase = JobPhase::Running;
     TimePoint AcceptedAt;
     TimePoint GiveUpAt;
-    /// Whether any task may have run, of this hand-in or of one before.
+    /// Whether any task may have run, in this submission or in an earlier one.
     bool MayHaveRun = false;
     std::uint32_t DoneCount = 0;
-    /// The longest time that a task of it has taken.
+    /// Longest run time of its completed tasks; zero if there are none.
     std::chrono::milliseconds LongestDone{};
     std::uint32_t OutstandingCount = 0;
-    /// Times that tasks of it have been placed again.
+    /// Number of times that tasks of this job have been placed again.
     std::uint32_t PlacementRetries = 0;
-    /// Tasks that wait for offers, and until when they do.
+    /// Number of tasks that wait for offers.
     std::uint32_t AwaitingOffers = 0;
-    /// Of these, those that agents have been asked to offer room for.
+    /// How many of these agents have already been asked to offer capacity for.
     std::uint32_t OffersRequested = 0;
-    /// Agents that have been asked and may still offer room.
+    /// Agents that have been asked and may still send an offer.
     std::set<std::string> AskedAgents;
     TimePoint OffersDeadline = TimePoint::max();
-    /// Offers were awaited for long enough: tasks go into workers' queues.
+    /// Whether the wait for offers is over, so that tasks go into workers'
+    /// queues.
     bool OffersTimedOut = false;
     LeasedAnswer PendingAnswer;
-    /// The same job handed in again while runs of this submission are being
-    /// stopped. It begins once they have ended.
+    /// A resubmission of the job that arrived while runs of this submission are
+    /// being stopped. It starts once they have ended.
     struct Resubmission {
       LeasedJobRequest Request;
       std::vector<Caller> Callers;
@@ -245,25 +263,27 @@
   };
   struct Contact {
     TimePoint NextRenewal = TimePoint::min();
-    /// When the last renewal was sent, whose answer lists what is held.
+    /// When the last renewal was sent. Its reply lists the placements that the
+    /// agent holds.
     TimePoint LastRenewalAt = TimePoint::min();
-    /// How long it may be idle and unheard before it is asked for its load.
+    /// How long an idle agent may send nothing before its load is probed.
     std::chrono::milliseconds IdleProbeDelay{};
-    /// When the first tasks were sent since it was last heard.
+    /// When the first tasks were sent since the last message from the agent.
     TimePoint FirstDispatchAt = TimePoint::max();
-    /// When the oldest renewal without an answer was sent.
+    /// When the oldest unanswered renewal was sent; TimePoint::max() if there
+    /// is none.
     TimePoint UnansweredSince = TimePoint::max();
-    /// When tasks sent to an earlier life of the agent are taken for lost; it
-    /// may still be saying that it refuses some of them.
+    /// When the tasks sent to an earlier incarnation of the agent are given up.
+    /// Until then, refusals of some of them may still arrive.
     TimePoint DropOldLifeAt = TimePoint::max();
-    /// When messages to it were last sent again.
+    /// When messages to the agent were last resent.
     TimePoint LastResendAt = TimePoint::min();
-    /// Placements there whose jobs still run here, by their numbers: all that
-    /// renewals name. What is answered for must lapse, also at an agent that
-    /// cannot be heard.
+    /// Numbers of the placements whose jobs are still running; only these are
+    /// named in renewals. The leases of answered jobs must expire, also at an
+    /// agent whose messages do not arrive.
     std::set<std::uint64_t> ActiveOrders;
-    /// Placements that were given up when it was lost, by their numbers. It
-    /// may hold them all the same.
+    /// Placements that were given up when the agent was lost, by number. The
+    /// agent may still hold them.
     struct GivenUpOrder {
       std::string Job;
       TimePoint PlacedAt;
@@ -273,50 +293,54 @@
 
   void begin(LeasedJobRequest Request, std::vector<Caller> Callers,
              Instant Now);
-  /// Until when any of them waits.
+  /// Returns the latest deadline of the callers.
   static TimePoint lastDeadline(const std::vector<Caller> &Callers);
-  /// Lets a job that was handed in again wait for the end of its earlier runs.
+  /// Holds a resubmission until the earlier runs of the job have ended.
   void queueResubmission(Job &Known, LeasedJobRequest Request,
                          LeaseTicket Waiter, Instant Now);
-  /// Answers those who wait for an earlier submission to end.
+  /// Answers the callers of a held resubmission and discards it.
   void dropResubmission(Job &Known, const std::string &Reason);
-  /// Answers one of several callers, who has gone. \returns false, and does
-  /// nothing, if he is the only one.
+  /// Answers and removes a caller that has disconnected, if others remain.
+  /// \returns false, and does nothing, if it is the only caller.
   bool removeCaller(std::vector<Caller> &Callers, LeaseTicket Waiter,
                     const std::string &Reason);
-  /// Whether the job was refused because too much is waiting already.
+  /// Refuses the job if workers have too little free capacity. \returns whether
+  /// it was refused.
   bool shedIfOverloaded(const LeasedJobRequest &Request, LeaseTicket Waiter,
                         Instant Now);
   void place(Job &Target, Instant Now);
-  /// Gives up a job whose deadline has passed or whose callers have gone.
-  /// \returns whether it has.
+  /// Gives up a job whose deadline has passed or whose callers have
+  /// disconnected. \returns whether the job was given up.
   bool endIfUnwanted(Job &Target, Instant Now);
-  /// Whether this process was behind until a moment ago.
+  /// Whether this process was behind on its input within CatchUpPeriod.
   bool isCatchingUp(Instant Now) const;
   void schedulePlacement(Job &Target);
-  /// Places tasks that must avoid the same agents. \returns whether all could
-  /// be.
+  /// Places tasks that must avoid the same agents, or lets them wait for
+  /// offers. \returns false if some can do neither.
   bool placeGroup(Job &Target, const std::set<std::string> &Avoid,
                   const std::vector<std::uint32_t> &Indexes, Instant Now,
                   std::map<std::string, peer::LeasedDispatch> &Batch);
-  /// Ends jobs whose tasks are given up by what an agent tells of crashes.
+  /// Records the crashes that an agent reports, and fails jobs whose tasks have
+  /// crashed too many workers.
   void onCrashes(const std::string &Agent, const peer::WorkerLoad &Load,
                  Instant Now);
-  /// Answers a job at once whose tasks have been given up before. \returns
-  /// whether they have.
+  /// Fails a job at once if one of its tasks was given up before for crashing
+  /// workers. \returns whether it was.
   bool rejectCrashingJob(const LeasedJobRequest &Request,
                          const std::vector<Caller> &Callers);
-  /// Keeps tasks here, and asks agents to offer room for them.
+  /// Keeps tasks at this entry and asks agents to offer capacity for them.
   void awaitOffers(Job &Target, const std::set<std::string> &Avoid,
                    std::uint32_t Tasks, Instant Now);
-  /// Tells the agents that were asked that no more tasks wait: a slot that is
-  /// held for nothing is idle for a round trip.
+  /// Tells the agents that were asked for offers that no more tasks wait.
+  /// Otherwise a slot reserved in vain would stay idle for a round trip.
   void withdrawInterest(Job &Target);
-  /// Of all tasks that wait for offers, in thousandths of a core.
+  /// Returns the demand of all tasks that wait for offers, in thousandths of a
+  /// core.
   std::uint64_t awaitingCpu() const;
   void onOffer(const PeerRef &From, const peer::LeasedOffer &Offer,
                Instant Now);
-  /// Until a task of the job must have started, by its declared length.
+  /// Time left for tasks of the job to start and still meet its objective, by
+  /// their declared run time. May be negative.
   static std::chrono::milliseconds slackOf(const Job &Target, Instant Now);
   void assign(Job &Target, std::uint32_t Index, const LeasedWorker &Chosen,
               Instant Now, std::map<std::string, peer::LeasedDispatch> &Batch);
@@ -324,22 +348,25 @@
                 Instant Now);
   void onLoad(const std::string &Agent, const peer::WorkerLoad &Load,
               Instant Now);
-  /// Whether an agent has not listed a placement for so long that it has ended.
+  /// Whether an agent has not listed a placement for MissingTimeout, so that it
+  /// is considered ended.
   bool isMissing(Task &JobTask, bool Held, Instant Now) const;
-  /// Ends the tasks of which an agent knows nothing: their updates were lost,
-  /// as while this entry stood still and its lease there lapsed.
+  /// Ends the tasks that the agent no longer holds. Their final updates were
+  /// lost, for example because this entry was stalled and its lease at the
+  /// agent expired.
   void onHeldOrders(const std::string &Agent, const peer::WorkerLoad &Load,
                     Instant Now);
-  /// Stops what an agent holds of jobs that were given up, here or when it
-  /// was lost.
+  /// Stops the placements that an agent still holds of jobs that have ended or
+  /// that were given up when the agent was lost.
   void stopGivenUp(const LeasedWorker &Worker,
                    const std::set<std::uint64_t> &Held, Instant Now);
-  /// \param Orders The placements to stop; all of the job there if empty.
+  /// \param Orders Placements to stop; if empty, all placements of the job at
+  /// this agent.
   void sendStop(const std::string &Id, const LeasedWorker &Worker,
                 const std::vector<std::uint64_t> &Orders);
   void onUpdate(const std::string &Agent, const peer::LeasedUpdate &Update,
                 Instant Now);
-  /// Whether an agent's word that a task has not started holds for all copies
+  /// Whether an agent's report that a task has not started holds for all copies
   /// of its dispatch.
   static bool provesNotStarted(const Task &JobTask,
                                const peer::LeasedUpdate &Update);
@@ -352,7 +379,8 @@
   void onTaskFailed(Job &Target, Task &JobTask, const std::string &Agent,
                     const peer::LeasedUpdate &Update, Instant Now);
   void settle(Job &Target, Task &JobTask, TaskPhase Next);
-  /// Gives up on the tasks sent to an agent, or only to earlier lives of it.
+  /// Gives up the tasks sent to an agent, or only those sent to earlier
+  /// incarnations of it.
   void giveUpAgentTasks(const std::string &Agent, bool OnlyOldLives,
                         const std::string &Reason, Instant Now);
   void onRestarted(const std::string &Agent, Instant Now);
@@ -366,7 +394,8 @@
   void finishIfProven(Job &Target, Instant Now);
   void forgetIfSettled(const std::string &Id, Instant Now);
   void renewLeases(Instant Now);
-  /// Whether a question to an agent has been unanswered for longer than this.
+  /// Whether a renewal to the agent has been unanswered for longer than \p
+  /// Limit.
   static bool isUnanswered(const Contact &AgentContact,
                            std::chrono::milliseconds Limit, Instant Now);
   bool isRenewalDue(const LeasedWorker &Worker, const Contact &AgentContact,
@@ -377,7 +406,8 @@
   void tickJobs(Instant Now);
   std::chrono::milliseconds stallLimit(const Job &Target) const;
   void stopStalled(Job &Target, Instant Now);
-  /// Has the agent of a task that has been out for long list what it holds.
+  /// Renews the lease at the agent of a long-running task early, so that its
+  /// reply lists the placements it holds.
   void requestHeldOrders(const Task &JobTask, Instant Now);
   Job *find(const std::string &Id);
 
@@ -390,11 +420,11 @@
   WaitingRule Waits;
   std::mt19937_64 Random;
   std::unordered_map<std::string, std::unique_ptr<Job>> Jobs;
-  /// Jobs that may have run and are no longer under way.
+  /// Jobs that may have run and are no longer in progress.
   RecentIds RecentlyRan;
   CrashRecord Crashes{this->Options.Crashes};
   TimePoint NextCrashSweep = TimePoint::min();
-  /// Jobs with tasks to be placed again.
+  /// Jobs with tasks that are to be placed again.
   std::set<std::string> JobsToPlace;
   std::map<std::string, Contact> Contacts;
   CoordinatorCounters Counters;
--- a/entry/lease_coordinator_intake.cpp
+++ b/entry/lease_coordinator_intake.cpp
@@ -1,5 +1,4 @@
-//===- The part of LeaseCoordinator that takes and withdraws jobs
-//----------===//
+//===- LeaseCoordinator: accepts and withdraws jobs -----------------------===//
 
 #include "entry/lease_coordinator.h"
 
@@ -7,7 +6,7 @@
 
 namespace yardwheel {
 
-// ---- Jobs come in ----
+// ---- Submissions ----
 
 bool LeaseCoordinator::mayJoin(const std::string &Id) const {
   auto Found = this->Jobs.find(Id);
@@ -48,7 +47,7 @@
   New->Tasks.resize(Request.TaskCount);
   New->AcceptedAt = Now.Steady;
   New->GiveUpAt = lastDeadline(Callers);
-  // An earlier hand-in's runs are runs of the job.
+  // Runs of an earlier submission count as runs of the job.
   New->MayHaveRun = this->RecentlyRan.contains(Request.Id);
   New->Request = std::move(Request);
   New->Callers = std::move(Callers);
@@ -123,9 +122,9 @@
                       {"limit_percent", static_cast<int>(Limit * Percent)},
                       {"tasks", Request.TaskCount}});
   LeasedEnd End = MayHaveRun ? LeasedEnd::Unknown : LeasedEnd::NotRun;
-  this->Answers.onLeasedAnswer(Waiter,
-                               {End, "admit", "", "upstreams are short of room",
-                                this->Options.RetryAfter});
+  this->Answers.onLeasedAnswer(
+      Waiter, {End, "admit", "", "upstreams have too little free capacity",
+               this->Options.RetryAfter});
   return true;
 }
 
@@ -174,7 +173,7 @@
       this->dropResubmission(*Known, Reason);
     return;
   }
-  // A job that is being given up has no more to be stopped.
+  // A job that is being given up is already being stopped.
   bool MayStop = Known->Phase == JobPhase::Running && IsAmong(Known->Callers);
   if (MayStop && !this->removeCaller(Known->Callers, Waiter, Reason))
     this->cancel(Id, Reason, Now);
--- a/entry/lease_coordinator_offers.cpp
+++ b/entry/lease_coordinator_offers.cpp
@@ -1,4 +1,4 @@
-//===- The part of LeaseCoordinator whose tasks wait for offers -----------===//
+//===- LeaseCoordinator: tasks that wait for offers of agents -------------===//
 
 #include "entry/lease_coordinator.h"
 
@@ -26,7 +26,7 @@
 void LeaseCoordinator::awaitOffers(Job &Target,
                                    const std::set<std::string> &Avoid,
                                    std::uint32_t Tasks, Instant Now) {
-  // Agents have been asked for the others before.
+  // Agents have already been asked to offer capacity for the other tasks.
   Target.AwaitingOffers += Tasks;
   std::uint32_t New = Target.AwaitingOffers -
                       std::min(Target.AwaitingOffers, Target.OffersRequested);
@@ -96,7 +96,8 @@
   }
   Target->AwaitingOffers -= std::min(Target->AwaitingOffers, Accepted);
   Target->OffersRequested -= std::min(Target->OffersRequested, Accepted);
-  // An offer that is not used up tells its agent as much.
+  // The reply to an offer that is not used up also ends the interest at its
+  // agent.
   if (Accepted < Offer.tasks())
     Target->AskedAgents.erase(From.Node);
   if (Target->AwaitingOffers == 0)
--- a/entry/lease_coordinator_placement.cpp
+++ b/entry/lease_coordinator_placement.cpp
@@ -1,4 +1,4 @@
-//===- The part of LeaseCoordinator that places and sends tasks -----------===//
+//===- LeaseCoordinator: places and dispatches tasks ----------------------===//
 
 #include "entry/lease_coordinator.h"
 
@@ -22,9 +22,10 @@
   };
   if (!this->isCatchingUp(Now) || std::ranges::any_of(Target.Callers, IsThere))
     return false;
-  this->giveUp(Target,
-               {LeasedEnd::Unknown, "cancel", "", "the caller has gone", {}},
-               Now);
+  this->giveUp(
+      Target,
+      {LeasedEnd::Unknown, "cancel", "", "the caller has disconnected", {}},
+      Now);
   return true;
 }
 
@@ -38,7 +39,8 @@
     const Task &JobTask = Target.Tasks[I];
     if (JobTask.Phase != TaskPhase::Unplaced)
       continue;
-    // It waits here until it is known whether those workers have crashed.
+    // The task waits here until it is known whether the workers lost under it
+    // have crashed.
     if (this->Crashes.verdict(Target.Request.Id, I) == CrashVerdict::Held)
       continue;
     Groups[JobTask.Avoid].push_back(I);
@@ -52,13 +54,13 @@
     this->dispatch(Target, Batch, Now);
     return;
   }
-  // What has been put in the batch was never sent.
+  // The tasks in the batch were never sent.
   for (const auto &[Agent, Unsent] : Batch)
     for (const peer::LeasedTask &Order : Unsent.tasks())
       this->settle(Target, Target.Tasks[Order.index()], TaskPhase::Over);
   this->giveUp(Target,
                {LeasedEnd::NotRun, "place", "",
-                "no worker may take the task now", this->Options.RetryAfter},
+                "no worker can accept the task now", this->Options.RetryAfter},
                Now);
 }
 
@@ -74,7 +76,7 @@
   bool Awaits = !Target.OffersTimedOut && Target.Request.MaxPerWorker == 0 &&
                 this->Waits.waitsForOffers(slackOf(Target, Now),
                                            this->Workers.workers().size());
-  // What is known here of the workers' room has been wrong for this job.
+  // The known loads of the workers have been wrong for this job several times.
   bool StaleLoads =
       Awaits && Target.PlacementRetries >= this->Options.MaxRefusableRetries;
   auto Wanted = StaleLoads ? 0U : static_cast<std::uint32_t>(Indexes.size());
@@ -136,7 +138,8 @@
     Order.set_start_by_ms(static_cast<std::int32_t>(StartBy.count()));
     Order.set_give_up_ms(static_cast<std::int32_t>(GiveUp.count()));
     Order.set_estimate_ms(static_cast<std::uint32_t>(Request.Estimate.count()));
-    // The numbers of its own tasks are the highest so far.
+    // The tasks of this dispatch have the highest order numbers so far; only
+    // the earlier ones are renewed.
     Contact &AgentContact = this->Contacts[Agent];
     auto Earlier =
         AgentContact.ActiveOrders.lower_bound(Order.tasks(0).order());
@@ -154,7 +157,7 @@
     peer::Message Message;
     *Message.mutable_leased_dispatch() = std::move(Order);
     this->Sink.send(Worker->Agent, std::move(Message));
-    // It renews all leases there.
+    // The dispatch renews all leases at the agent.
     AgentContact.NextRenewal = Now.Steady + this->Options.RenewalInterval;
     AgentContact.FirstDispatchAt =
         std::min(AgentContact.FirstDispatchAt, Now.Steady);
--- a/entry/lease_coordinator_watch.cpp
+++ b/entry/lease_coordinator_watch.cpp
@@ -1,4 +1,4 @@
-//===- The part of LeaseCoordinator that watches agents and time ----------===//
+//===- LeaseCoordinator: agent liveness, leases and timeouts --------------===//
 
 #include "entry/lease_coordinator.h"
 
@@ -8,13 +8,13 @@
 
 namespace {
 
-/// Between two looks for tasks whose crashes may be forgotten; they are kept
-/// many times as long.
+/// Interval between sweeps of expired crash records, which are kept many times
+/// as long.
 constexpr std::chrono::milliseconds CrashSweepInterval{1000};
 
 } // namespace
 
-// ---- Agents go ----
+// ---- Agent liveness ----
 
 void LeaseCoordinator::onRestarted(const std::string &Agent, Instant Now) {
   this->Contacts[Agent].DropOldLifeAt = Now.Steady + this->Options.RestartGrace;
@@ -43,12 +43,14 @@
   LeasedWorker *Worker = this->Workers.find(Lost.To.Node);
   if (Worker == nullptr || Worker->Silent)
     return;
-  // Neither a verdict nor more messages while this process has to catch up;
-  // what an agent has not got it will not list.
+  // While this process catches up on its input, it neither judges agents nor
+  // sends more messages. What an agent has not received is missing from its
+  // list of held tasks.
   if (this->isCatchingUp(Now))
     return;
   Contact &AgentContact = this->Contacts[Lost.To.Node];
-  // Whatever was under way when a connection broke fails together.
+  // All messages in transit when a connection broke are reported as undelivered
+  // together.
   bool SameBreak = Lost.SentAt < AgentContact.LastResendAt;
   bool HeardSince = Worker->Heard >= AgentContact.LastResendAt;
   if (SameBreak || HeardSince) {
@@ -59,7 +61,7 @@
   }
   this->Workers.setSilent(Lost.To.Node);
   this->giveUpAgentTasks(Lost.To.Node, /*OnlyOldLives=*/false,
-                         "messages to it did not arrive, twice", Now);
+                         "messages to it were undelivered twice in a row", Now);
 }
 
 void LeaseCoordinator::resend(const LeasedWorker &Worker,
@@ -72,7 +74,7 @@
     } else if (Message.has_leased_stop()) {
       const peer::LeasedStop &Stop = Message.leased_stop();
       const Job *Target = this->find(Stop.job());
-      // Stops of stalled tasks are sent again in their own time.
+      // Stops of stalled tasks are retried by stopStalled.
       bool Over = Target != nullptr && Target->Phase != JobPhase::Running;
       if (Over || Stop.orders_size() > 0)
         this->Sink.send(Worker.Agent, Message);
@@ -92,14 +94,15 @@
   peer::LeasedDispatch *Again = Message.mutable_leased_dispatch();
   *Again = Lost;
   Again->clear_tasks();
-  // Renewals go out beside it, for what is wanted by now.
+  // The renewal that is sent with it names the placements that are active now.
   Again->clear_renewed();
   for (const peer::LeasedTask &Order : Lost.tasks()) {
     Task &JobTask = Target->Tasks[Order.index()];
     if (JobTask.Phase != TaskPhase::Sent || JobTask.Order != Order.order())
       continue;
     JobTask.Resent = true;
-    // Its new stamp lets it be taken for as long again.
+    // With the new stamp, the agent accepts the dispatch for the full transit
+    // time again.
     JobTask.PlacedAt = Now.Steady;
     *Again->add_tasks() = Order;
   }
@@ -121,7 +124,8 @@
                                         const std::string &Reason,
                                         Instant Now) {
   ++this->Counters.AgentsLost;
-  // What was asked of it until now is not held against it once it is back.
+  // Probes that are unanswered now must not count against the agent once it is
+  // back.
   this->Contacts[Agent].UnansweredSince = TimePoint::max();
   this->Contacts[Agent].FirstDispatchAt = TimePoint::max();
   const LeasedWorker *Worker = this->Workers.find(Agent);
@@ -141,8 +145,8 @@
   for (const std::string &Id : Concerned) {
     Job &Target = *this->Jobs[Id];
     Target.MayHaveRun = true;
-    // What became of its runs is not known. They are no longer named in
-    // renewals, and lapse; the agent may still hear that they are to stop.
+    // The outcome of these runs is unknown. Renewals no longer name them, so
+    // that their leases expire; a stop may still reach the agent.
     std::vector<std::uint64_t> Orders;
     for (Task &JobTask : Target.Tasks) {
       if (!IsLost(JobTask))
@@ -162,7 +166,7 @@
   }
 }
 
-// ---- Agents tell what they hold ----
+// ---- Placements that agents list ----
 
 bool LeaseCoordinator::isMissing(Task &JobTask, bool Held, Instant Now) const {
   bool MayBeOnItsWay =
@@ -178,7 +182,8 @@
 void LeaseCoordinator::onHeldOrders(const std::string &Agent,
                                     const peer::WorkerLoad &Load, Instant Now) {
   const LeasedWorker *Worker = this->Workers.find(Agent);
-  // A late answer, or one of another life, says nothing of what is held now.
+  // A late reply, or one of another incarnation, does not tell what the agent
+  // holds now.
   bool Newest = Worker != nullptr &&
                 Load.incarnation() == Worker->Incarnation &&
                 Load.stamp() >= Worker->Stamp;
@@ -195,7 +200,7 @@
       if (!There ||
           !this->isMissing(JobTask, Held.contains(JobTask.Order), Now))
         continue;
-      // It has not stood still there: there is nothing of it.
+      // The task has not stalled: the agent does not hold it.
       JobTask.Stalled = false;
       peer::LeasedUpdate &End = Lost.emplace_back();
       End.set_job(Id);
@@ -203,7 +208,7 @@
       End.set_attempt(JobTask.Attempt);
       End.set_order(JobTask.Order);
       End.set_event(peer::LEASED_ENDED_EARLY);
-      End.set_reason("its agent no longer lists it");
+      End.set_reason("its agent no longer holds it");
     }
   }
   for (const peer::LeasedUpdate &End : Lost)
@@ -215,7 +220,7 @@
                                    Instant Now) {
   const std::string &Agent = Worker.Agent.Node;
   std::map<std::string, std::vector<std::uint64_t>> GivenUp;
-  // Its stop may have been lost.
+  // The stop of the job may have been lost.
   for (const auto &[Id, Known] : this->Jobs)
     for (const Task &JobTask : Known->Tasks)
       if (Known->Phase != JobPhase::Running &&
@@ -237,7 +242,7 @@
   }
 }
 
-// ---- Time ----
+// ---- Timers ----
 
 void LeaseCoordinator::tick(Instant Now, TimePoint NewLastBehind) {
   this->noteBehind(NewLastBehind, Now);
@@ -262,11 +267,12 @@
   std::vector<std::string> Restarted;
   std::vector<std::string> Lost;
   std::vector<PeerRef> ToReconnect;
-  // Both are ordered by name. A look-up of each agent with each tick was one of
-  // the entry's largest single costs (perf, 66 agents).
+  // Both maps are ordered by agent name, so one pass over them suffices.
+  // Looking up each agent on every tick was one of the largest single costs of
+  // the entry (profiled with 66 agents).
   auto Next = this->Contacts.begin();
   for (const auto &[Agent, Worker] : this->Workers.workers()) {
-    // One that leaves lets its runs end, under leases that are renewed.
+    // A leaving agent finishes its runs, whose leases must still be renewed.
     if (!Worker.Alive && Worker.OwnTasks == 0)
       continue;
     if (this->Workers.isLost(Worker, Now.Steady)) {
@@ -282,7 +288,8 @@
       AgentContact.DropOldLifeAt = TimePoint::max();
       Restarted.push_back(Agent);
     }
-    // The answer may lie here unread: the question is asked again.
+    // The reply may have arrived without having been read: the probe is
+    // repeated.
     if (AgentContact.UnansweredSince <= this->LastBehind) {
       AgentContact.UnansweredSince = TimePoint::max();
       AgentContact.FirstDispatchAt = TimePoint::max();
@@ -299,21 +306,22 @@
     if (this->isRenewalDue(Worker, AgentContact, Now))
       this->sendRenewal(Worker, AgentContact, Now);
   }
-  // What may not have arrived is reported, and sent again.
+  // Messages that may not have arrived are reported as undelivered, and resent.
   for (const PeerRef &Agent : ToReconnect)
     this->Sink.reconnect(Agent);
   for (const std::string &Agent : Restarted)
-    this->giveUpAgentTasks(Agent, /*OnlyOldLives=*/true, "it has restarted",
-                           Now);
+    this->giveUpAgentTasks(Agent, /*OnlyOldLives=*/true,
+                           "the agent has restarted", Now);
   for (const std::string &Agent : Lost) {
     this->Workers.setLost(Agent);
-    this->giveUpAgentTasks(Agent, /*OnlyOldLives=*/false,
-                           "control lost it and it is silent here", Now);
+    this->giveUpAgentTasks(
+        Agent, /*OnlyOldLives=*/false,
+        "control reported it lost and it is unreachable from this entry", Now);
   }
   for (const std::string &Agent : Silent) {
     this->Workers.setSilent(Agent);
     this->giveUpAgentTasks(Agent, /*OnlyOldLives=*/false,
-                           "it left renewals unanswered", Now);
+                           "it left lease renewals unanswered", Now);
   }
 }
 
@@ -327,7 +335,7 @@
                        this->Options.DispatchProbeDelay;
     return Unheard || Now.Steady >= AgentContact.NextRenewal;
   }
-  // An idle agent is asked only if nothing has been heard of it otherwise.
+  // An idle agent is probed only if nothing else has been received from it.
   std::chrono::milliseconds Pause = Worker.Silent || Worker.Doubtful
                                         ? this->Options.UnreachableProbeInterval
                                         : AgentContact.IdleProbeDelay;
@@ -348,7 +356,7 @@
   bool Idle = Worker.OwnTasks == 0;
   AgentContact.NextRenewal = Now.Steady + this->Options.RenewalInterval;
   AgentContact.LastRenewalAt = Now.Steady;
-  // Only an agent that holds our tasks can lose any by its silence.
+  // Only an agent that holds tasks of this entry is timed out.
   if (Idle)
     AgentContact.UnansweredSince = TimePoint::max();
   else
@@ -382,7 +390,8 @@
     if (JobTask.Phase != TaskPhase::Sent)
       continue;
     this->requestHeldOrders(JobTask, Now);
-    // A sibling that is done tells more than what was declared.
+    // The run time of a completed task of the job is a better estimate than the
+    // declared one.
     if (OneDone && !JobTask.Stalled)
       JobTask.StallCheckAt = std::min(JobTask.StallCheckAt, Now.Steady + Limit);
     if (Now.Steady < JobTask.StallCheckAt)
@@ -431,7 +440,7 @@
       Due.push_back(Id);
     if (Known->NextSubmission &&
         Now.Steady >= lastDeadline(Known->NextSubmission->Callers))
-      this->dropResubmission(*Known, "an earlier hand-in has not ended yet");
+      this->dropResubmission(*Known, "an earlier submission has not ended yet");
   }
   for (const std::string &Id : Due) {
     Job &Target = *this->Jobs[Id];
