--- a/tests/entry/coordinator_agents_test.cpp
+++ b/tests/entry/coordinator_agents_test.cpp
@@ -1,4 +1,4 @@
-//===- Agents that leave, restart, fall silent or are renewed -----------===//
+//===- Agents that leave, restart, stop answering or are renewed ----------===//
 
 #include "tests/entry/coordinator_fixture.h"
 
@@ -7,7 +7,7 @@
 
 TEST_GROUP_BASE(CoordinatorAgentsTest, CoordinatorFixture){};
 
-TEST(CoordinatorAgentsTest, AnAgentThatIsGoneLeavesItsJobsUnknown) {
+TEST(CoordinatorAgentsTest, JobsOfALostAgentEndAsUnknown) {
   struct Row {
     const char *Name;
     std::function<void()> Lose;
@@ -21,7 +21,7 @@
          Now.Steady += 20ms;
          failDispatchDelivery(Sink.Dispatches.size() - 1);
        }},
-      {"silent", [&] { advance(1000ms); }},
+      {"unresponsive", [&] { advance(1000ms); }},
   };
   for (const Row &Row : Rows) {
     Answers.Answers.clear();
@@ -34,8 +34,8 @@
   }
 }
 
-// Its connection may have broken or gone silent while new ones work.
-TEST(CoordinatorAgentsTest, ADispatchWithoutReceiptIsSentAgain) {
+// Guards against a connection that breaks or hangs while new connections work.
+TEST(CoordinatorAgentsTest, AnUndeliveredDispatchIsResent) {
   addAgent("a");
   Coordinator.submit(request(3), 1, Now);
   std::uint64_t First = Sink.Dispatches[0].second.tasks(0).order();
@@ -51,11 +51,11 @@
   LONGS_EQUAL(Sink.Dispatches[0].second.start_by_ms() - 300,
               Again.start_by_ms());
   LONGS_EQUAL(1, Sink.Renewals["a"]);
-  // All that was under way on the broken connection fails with it.
+  // All messages in transit on the broken connection fail with it.
   Coordinator.onUndelivered({{"a", "10.0.0.1:1"}, Now.Steady - 200ms, Sent},
                             Now);
   LONGS_EQUAL(0, Answers.Answers.size());
-  // Only what still waits for an end is sent again.
+  // Only tasks that have not ended are sent again.
   answer(0, peer::LEASED_DONE);
   CHECK(onlyAnswer().End == LeasedEnd::Completed);
   std::size_t Before = Sink.Dispatches.size();
@@ -64,8 +64,8 @@
   LONGS_EQUAL(Before, Sink.Dispatches.size());
 }
 
-// The same job may have been handed in, given up and handed in again.
-TEST(CoordinatorAgentsTest, AnUpdateOfAnEarlierSubmissionChangesNothing) {
+// The same job may have been submitted, given up and submitted again.
+TEST(CoordinatorAgentsTest, AnUpdateOfAnEarlierSubmissionIsIgnored) {
   addAgent("a");
   Coordinator.submit(request(1), 1, Now);
   markLostByControl("a");
@@ -79,8 +79,9 @@
   CHECK(Answers.Answers.back().second.End == LeasedEnd::Completed);
 }
 
-// It may be cut off from control only, and its worker has room.
-TEST(CoordinatorAgentsTest, AnAgentThatControlLostIsUsedWhileItIsHeardHere) {
+// The agent may be disconnected from control only, while its worker has free
+// capacity.
+TEST(CoordinatorAgentsTest, AnAgentLostByControlIsUsedWhileReachableHere) {
   auto Hear = [&] { this->reportLoad("a"); };
   addAgent("a");
   Hear();
@@ -98,19 +99,19 @@
   Coordinator.submit(request(1, "k"), 2, Now);
   LONGS_EQUAL(2, Sink.Dispatches.size());
   answer(1, peer::LEASED_DONE);
-  // Idle and no longer heard: neither control nor this entry knows of it.
+  // Idle and sending nothing: neither control nor this entry reaches the agent.
   advance(3000ms);
   Coordinator.submit(request(1, "l"), 3, Now);
   LONGS_EQUAL(2, Sink.Dispatches.size());
   CHECK(Answers.Answers.back().second.End == LeasedEnd::NotRun);
-  // Control hears it again.
+  // Control reaches the agent again.
   addAgent("a");
   Coordinator.submit(request(1, "m"), 4, Now);
   LONGS_EQUAL(3, Sink.Dispatches.size());
 }
 
-// Control may tell of the new life later than the agent itself does.
-TEST(CoordinatorAgentsTest, ARestartedAgentIsKnownByItsOwnWords) {
+// The agent's own messages may show its new incarnation before control does.
+TEST(CoordinatorAgentsTest, ARestartIsKnownFromTheAgentsOwnMessages) {
   addAgent("a");
   Coordinator.submit(request(1), 1, Now);
   peer::Message Load;
@@ -123,14 +124,14 @@
   LONGS_EQUAL(2, Sink.Dispatches.size());
   LONGS_EQUAL(AgentIncarnation + 1,
               Sink.Dispatches[1].second.agent_incarnation());
-  // The stamp that was heard, and the time since then.
+  // The last stamp received, plus the time since then.
   CHECK(Sink.Dispatches[1].second.stamp() > 5);
   CHECK(Sink.Dispatches[1].second.stamp() <= 5 + 80);
 }
 
-// After a common restart control knows of agents before this entry can reach
-// them. What is sent then fails, and its callers never learn what became of it.
-TEST(CoordinatorAgentsTest, AnAgentGetsNoTasksUntilItHasBeenHeardHere) {
+// After a restart of all processes, control knows of agents before this entry
+// can reach them. Tasks sent then would be lost and their jobs end as unknown.
+TEST(CoordinatorAgentsTest, AnAgentGetsNoTasksBeforeItsFirstMessage) {
   announceAgent("a");
   CHECK_FALSE(Coordinator.hasWorkers());
   Coordinator.submit(request(1), 1, Now);
@@ -143,8 +144,9 @@
   LONGS_EQUAL(1, Sink.Dispatches.size());
 }
 
-// An entry on a slow host answers late, and so hears late.
-TEST(CoordinatorAgentsTest, AnEntryThatIsBehindTakesNobodyForSilent) {
+// An entry on a slow host reads its input late, so replies of agents only seem
+// late.
+TEST(CoordinatorAgentsTest, AnEntryThatIsBehindConsidersNoAgentLost) {
   addAgent("a");
   Coordinator.submit(request(1), 1, Now);
   LeasedJobRequest Other = request(1, "k");
@@ -154,12 +156,12 @@
     if (Passed == 500ms)
       failDispatchDelivery(0);
   }
-  // Its caller's deadline is its own.
+  // The deadline of the caller still applies.
   LONGS_EQUAL(1, Answers.Answers.size());
   STRCMP_EQUAL("deadline", onlyAnswer().Step.c_str());
   LONGS_EQUAL(0, Sink.Reconnects["a"]);
   LONGS_EQUAL(0, Coordinator.counters().AgentsLost);
-  // Once it has read all, what is unanswered from then on counts.
+  // Once the entry has caught up, renewals left unanswered count again.
   Now.Steady += 1000ms;
   reportLoad("a");
   Coordinator.submit(Other, 2, Now);
@@ -167,8 +169,8 @@
   LONGS_EQUAL(1, Coordinator.counters().AgentsLost);
 }
 
-// Until it is taken for lost, each job sent there may be lost with it.
-TEST(CoordinatorAgentsTest, AnAgentThatLeavesAQuestionOpenGetsNoMoreTasks) {
+// Jobs sent to the agent before it is considered lost would be lost with it.
+TEST(CoordinatorAgentsTest, AnAgentThatLeavesAProbeUnansweredGetsNoTasks) {
   addAgent("a", 64000);
   addAgent("b", 1000);
   Coordinator.submit(request(2), 1, Now);
@@ -177,7 +179,7 @@
   LONGS_EQUAL(0, Answers.Answers.size());
   Coordinator.submit(request(1, "k"), 2, Now);
   STRCMP_EQUAL("b", Sink.Dispatches.back().first.c_str());
-  // It is heard again.
+  // A message from the agent arrives again.
   peer::Message Load;
   Load.mutable_worker_load()->set_incarnation(AgentIncarnation);
   Load.mutable_worker_load()->set_stamp(++Stamp);
@@ -196,8 +198,9 @@
   LONGS_EQUAL(0, Answers.Answers.size());
 }
 
-// What its last life left unanswered says nothing of its present one.
-TEST(CoordinatorAgentsTest, ARestartedAgentIsNotSilentForItsLastLife) {
+// Renewals left unanswered by the previous incarnation must not count against
+// the current one.
+TEST(CoordinatorAgentsTest, ARestartedAgentIsNotLostForItsLastIncarnation) {
   addAgent("a");
   Coordinator.submit(request(1), 1, Now);
   advance(300ms);
@@ -205,7 +208,7 @@
   advance(20ms);
   failDispatchDelivery(0);
   CHECK(onlyAnswer().End == LeasedEnd::Unknown);
-  // Back before it was asked again whether it is there.
+  // The agent is back before it was probed again.
   Now.Steady += 450ms;
   peer::Member Member;
   Member.set_name("a");
@@ -222,7 +225,7 @@
   LONGS_EQUAL(1, Answers.Answers.size());
 }
 
-TEST(CoordinatorAgentsTest, WhatARestartedAgentRefusesIsSentAgain) {
+TEST(CoordinatorAgentsTest, TasksThatARestartedAgentRefusesAreSentAgain) {
   addAgent("a");
   Coordinator.submit(request(3), 1, Now);
   peer::Message Message;
@@ -247,15 +250,17 @@
               Sink.Dispatches[1].second.agent_incarnation());
 }
 
-// What an earlier life had is given up a little later than the new one is heard
-// of; the new one's own tasks must stay counted, or their lease is not renewed.
+// The tasks of an earlier incarnation are given up some time after the new one
+// is known. The tasks of the new one must stay counted, or their lease is not
+// renewed.
 TEST(CoordinatorAgentsTest,
-     TasksOfAnAgentsNewLifeStayCountedWhenOldOnesAreLost) {
+     TasksOfANewIncarnationStayCountedWhenOldOnesAreLost) {
   struct Row {
     const char *Name;
     bool ByControl;
   };
-  const Row Rows[] = {{"told by the agent", false}, {"told by control", true}};
+  const Row Rows[] = {{"reported by the agent", false},
+                      {"reported by control", true}};
   std::uint64_t Newest = AgentIncarnation;
   for (const Row &Row : Rows) {
     addAgent("a");
@@ -287,9 +292,9 @@
   }
 }
 
-// Its present life refuses the second copy of a dispatch. The first may have
-// reached the life before, which may have begun the task.
-TEST(CoordinatorAgentsTest, ARestartedAgentsRefusalOfASecondCopyProvesNothing) {
+// The current incarnation refuses the second copy of a dispatch. The first copy
+// may have reached the previous one, which may have started the task.
+TEST(CoordinatorAgentsTest, ARestartedAgentsRefusalOfAResendProvesNothing) {
   addAgent("a");
   Now.Steady += 20ms;
   Coordinator.submit(request(1), 1, Now);
@@ -310,7 +315,7 @@
   CHECK(onlyAnswer().End == LeasedEnd::Unknown);
 }
 
-TEST(CoordinatorAgentsTest, LeasesAreRenewedOnlyOftenWhileTasksRun) {
+TEST(CoordinatorAgentsTest, LeasesAreRenewedOftenOnlyWhileTasksRun) {
   addAgent("a");
   advance(1000ms);
   int Idle = Sink.Renewals["a"];
@@ -327,9 +332,9 @@
   LONGS_EQUAL(0, Answers.Answers.size());
 }
 
-// At 70 agents these would be most of an entry's messages.
-TEST(CoordinatorAgentsTest,
-     ADispatchRenewsTheLeaseAndNewsOfAnAgentSpareAQuestion) {
+// With 70 agents, separate renewals and probes would be most of an entry's
+// messages.
+TEST(CoordinatorAgentsTest, ADispatchRenewsTheLeaseAndMessagesReplaceProbes) {
   addAgent("a");
   advance(100ms);
   int Before = Sink.Renewals["a"];
@@ -343,9 +348,9 @@
   LONGS_EQUAL(20, Answers.Answers.size());
 }
 
-// Of tasks that seem to run for long the end may have been missed.
+// The end of a task that seems to run for long may have been missed.
 TEST(CoordinatorAgentsTest,
-     AnAgentWithAnOldTaskIsAskedWhatItHoldsBetweenDispatches) {
+     AnAgentWithALongTaskListsItsOrdersBetweenDispatches) {
   addAgent("a");
   LeasedJobRequest Long = request(1, "long");
   Long.Estimate = 5s;
@@ -360,8 +365,9 @@
   CHECK(Sink.Renewals["a"] - Before >= 2);
 }
 
-// The clocks of two hosts run on while nothing is said.
-TEST(CoordinatorAgentsTest, AStampIsCarriedOnByAtMostTheTimeThatHasPassed) {
+// The clocks of both hosts advance between messages. The extrapolated stamp
+// must not run ahead of the agent's clock.
+TEST(CoordinatorAgentsTest, AStampIsExtrapolatedByAtMostTheElapsedTime) {
   struct Row {
     std::chrono::milliseconds Passed;
     std::uint64_t Min;
@@ -382,8 +388,8 @@
   }
 }
 
-// It lets its runs end, which takes longer than a lease lasts.
-TEST(CoordinatorAgentsTest, LeasesAtALeavingAgentAreRenewedWhileTasksRunThere) {
+// A leaving agent finishes its runs, which takes longer than a lease lasts.
+TEST(CoordinatorAgentsTest, LeasesAtALeavingAgentAreRenewedWhileTasksRun) {
   addAgent("a");
   Coordinator.submit(request(1), 1, Now);
   setState("a", peer::MEMBER_LEAVING);
@@ -404,8 +410,8 @@
   LONGS_EQUAL(After, Sink.Renewals["a"]);
 }
 
-// The balancer then sends callers to an entry that has some.
-TEST(CoordinatorAgentsTest, AnEntryWithoutReachableWorkersSaysSo) {
+// The load balancer then sends callers to an entry that reaches workers.
+TEST(CoordinatorAgentsTest, AnEntryWithoutReachableWorkersReportsIt) {
   CHECK_FALSE(Coordinator.hasWorkers());
   addAgent("a");
   CHECK(Coordinator.hasWorkers());
--- a/tests/entry/coordinator_fixture.h
+++ b/tests/entry/coordinator_fixture.h
@@ -1,9 +1,8 @@
-//===- tests/entry/coordinator_fixture.h - A coordinator in tests *- C++
-//-*-===//
+//===- tests/entry/coordinator_fixture.h - Test fixture ---------*- C++ -*-===//
 ///
 /// \file
-/// A coordinator, the agents that tests play for it, and what it sends and
-/// answers.
+/// A coordinator, methods that act for its agents, and recorders of its
+/// messages and answers.
 ///
 //===----------------------------------------------------------------------===//
 #ifndef YARDWHEEL_TESTS_ENTRY_COORDINATOR_FIXTURE_H
@@ -44,9 +43,9 @@
   }
   std::vector<std::pair<std::string, peer::LeasedDispatch>> Dispatches;
   std::vector<std::string> Stops;
-  /// The placements that the last stop named.
+  /// Orders that the last stop named.
   std::set<std::uint64_t> StoppedOrders;
-  /// The placements that the last renewal for each agent named.
+  /// Orders that the last renewal to each agent named.
   std::map<std::string, std::set<std::uint64_t>> RenewedOrders;
   std::vector<std::pair<std::string, peer::LeasedStop>> StallStops;
   std::vector<std::pair<std::string, peer::LeasedInterest>> Interests;
@@ -73,15 +72,15 @@
 
 inline constexpr std::uint64_t AgentIncarnation = 9;
 
-/// Spread placement: a job's tasks go to several agents, so that the tests see
-/// how these are told apart.
+/// Spread placement: the tasks of a job go to several agents, so that tests can
+/// tell these apart.
 inline CoordinatorOptions spreadOptions() {
   CoordinatorOptions Options;
   Options.Workers.Placement = "spread";
   return Options;
 }
 
-/// The base of the groups of its tests.
+/// Base class of the coordinator's test groups.
 class CoordinatorFixture : public Utest {
 protected:
   CoordinatorSink Sink;
@@ -89,7 +88,7 @@
   LeaseCoordinator Coordinator{spreadOptions(), Sink, Answers};
   Instant Now{TimePoint(std::chrono::hours(1)), fromUnixMillis(1800000000000)};
 
-  /// Tells of an agent, which then answers the entry's first question.
+  /// Announces an agent and lets it reply to the first probe.
   void addAgent(const std::string &Name, std::uint32_t CpuMilli = 4000) {
     this->announceAgent(Name, CpuMilli);
     this->reportLoad(Name);
@@ -121,7 +120,8 @@
     Member.set_incarnation(AgentIncarnation);
     Coordinator.onMember(Member, Now);
   }
-  /// Control has lost an agent that this entry has not heard for long either.
+  /// Control reports an agent lost from which this entry has received nothing
+  /// for 3 s either.
   void markLostByControl(const std::string &Name) {
     Now.Steady += std::chrono::seconds(3);
     this->setState(Name, peer::MEMBER_LOST);
@@ -139,7 +139,7 @@
     Request.Deadline = std::chrono::milliseconds(1500);
     return Request;
   }
-  /// With time to spare: it may wait in any queue.
+  /// Has an objective with time to spare, so it may wait in any queue.
   LeasedJobRequest patientRequest(std::uint32_t Tasks, const char *Id = "j") {
     LeasedJobRequest Request = this->request(Tasks, Id);
     Request.Objective = std::chrono::milliseconds(1000);
@@ -157,13 +157,13 @@
     Coordinator.onMessage({Agent, "10.0.0.1:1"}, Message, Now);
   }
   std::uint64_t LastOffer = 0;
-  /// Reports that a message of this kind did not reach the agent.
+  /// Reports a message to the agent as undelivered.
   void failDelivery(const std::string &Agent, const peer::Message &Message) {
     auto Sent = std::make_shared<peer::Envelope>();
     *Sent->add_messages() = Message;
     Coordinator.onUndelivered({{Agent, "10.0.0.1:1"}, Now.Steady, Sent}, Now);
   }
-  /// An agent lists the placements that it holds for this entry.
+  /// Sends the list of orders that an agent holds for this entry.
   void listHeldOrders(const std::string &Agent,
                       const std::vector<std::uint64_t> &Orders) {
     peer::Message Message;
@@ -180,7 +180,7 @@
     *Message.mutable_leased_dispatch() = Sink.Dispatches.at(Which).second;
     this->failDelivery(Sink.Dispatches.at(Which).first, Message);
   }
-  /// Answers the dispatch with this number, for all of its tasks.
+  /// Sends an update for each task of the dispatch at index \p Which.
   void answer(std::size_t Which, peer::LeasedEvent Event,
               peer::LeasedRefusal Refusal = peer::REFUSAL_NONE) {
     auto [Agent, Dispatch] = Sink.Dispatches.at(Which);
@@ -196,7 +196,7 @@
       Update->set_service_us(100000);
       Update->mutable_load()->set_incarnation(AgentIncarnation);
       Update->mutable_load()->set_stamp(++this->Stamp);
-      // As an agent counts: at least the one that it tells of.
+      // Like an agent, counts at least the failure that the update reports.
       bool Failure =
           Event == peer::LEASED_FAILED || Refusal == peer::REFUSAL_WORKER;
       Update->mutable_load()->set_failures_in_row(Failure ? 1 : 0);
--- a/tests/entry/coordinator_lists_test.cpp
+++ b/tests/entry/coordinator_lists_test.cpp
@@ -1,4 +1,4 @@
-//===- What agents list as held for an entry, and what follows from it ----===//
+//===- Lists of held orders that agents send to an entry ------------------===//
 
 #include "tests/entry/coordinator_fixture.h"
 
@@ -12,18 +12,18 @@
 
 TEST_GROUP_BASE(CoordinatorListsTest, CoordinatorFixture){};
 
-// An entry that stood still misses the ends that were told meanwhile. What it
-// believes to be running must not keep it from taking jobs for ever.
-TEST(CoordinatorListsTest, TasksThatTheirAgentNoLongerListsHaveEnded) {
+// An entry that was stalled misses the updates sent meanwhile. Tasks that it
+// wrongly counts as running must not keep it from accepting jobs for ever.
+TEST(CoordinatorListsTest, TasksNoLongerListedByTheirAgentHaveEnded) {
   struct Row {
     const char *Name;
     bool Listed;
     std::chrono::milliseconds After;
     std::size_t Dispatches;
   };
-  const Row Rows[] = {{"it lists it", true, 3000ms, 1},
-                      {"on its way", false, 800ms, 1},
-                      {"its update may come", false, 1200ms, 1},
+  const Row Rows[] = {{"listed", true, 3000ms, 1},
+                      {"in transit", false, 800ms, 1},
+                      {"the update may still arrive", false, 1200ms, 1},
                       {"lost", false, 2000ms, 2}};
   addAgent("a", 2000);
   addAgent("b", 500);
@@ -42,7 +42,7 @@
       if (Row.Listed)
         Load->add_held_orders(Sink.Dispatches[0].second.tasks(0).order());
       Coordinator.onMessage({"a", "10.0.0.1:1"}, Message, Now);
-      // What another agent lists says nothing of this one.
+      // The list of another agent must not matter for this one.
       Load->clear_held_orders();
       Coordinator.onMessage({"b", "10.0.0.1:1"}, Message, Now);
     }
@@ -55,15 +55,15 @@
   }
 }
 
-// Its second copy carries a stamp of its own, and may start the task for as
-// long after it was sent as the first one.
-TEST(CoordinatorListsTest, ADispatchThatWasSentAgainMayBeOnItsWayAgain) {
+// The second copy carries a stamp of its own, and may start the task for as
+// long after it was sent as the first copy.
+TEST(CoordinatorListsTest, AResentDispatchMayBeInTransitAgain) {
   struct Row {
     const char *Name;
     bool Repeated;
     std::size_t Placed;
   };
-  const Row Rows[] = {{"sent once", false, 2}, {"sent again", true, 1}};
+  const Row Rows[] = {{"sent once", false, 2}, {"resent", true, 1}};
   addAgent("a");
   for (const Row &Row : Rows) {
     LeasedJobRequest Long = request(1, Row.Name);
@@ -85,9 +85,9 @@
   }
 }
 
-// A caller who was told that his job's end is unknown may have it run elsewhere
+// A caller that was answered "unknown" may have resubmitted the job elsewhere
 // by then.
-TEST(CoordinatorListsTest, WhatAnAgentHoldsForNoJobHereIsStopped) {
+TEST(CoordinatorListsTest, OrdersHeldForNoRunningJobAreStopped) {
   struct Row {
     const char *Name;
     std::function<std::uint64_t()> Hold;
@@ -99,7 +99,7 @@
   };
   const Row Rows[] = {
       {"wanted", Place, 0},
-      {"given up when its agent fell silent",
+      {"given up when its agent was lost",
        [&] {
          std::uint64_t Order = Place();
          advance(1000ms);
@@ -107,7 +107,7 @@
          return Order;
        },
        1},
-      {"given up, and the job has a newer placement there",
+      {"given up, with a newer placement of the job there",
        [&] {
          std::uint64_t Order = Place();
          advance(1000ms);
@@ -116,7 +116,7 @@
          return Order;
        },
        1},
-      {"its stop was lost",
+      {"the stop was lost",
        [&] {
          std::uint64_t Order = Place();
          Coordinator.cancel("j", "test", Now);
@@ -131,11 +131,11 @@
     Sink.Stops.clear();
     listHeldOrders("a", {Order});
     LONGS_EQUAL_TEXT(Row.Stops, Sink.Stops.size(), Row.Name);
-    // A newer placement of the same job goes on.
+    // A newer placement of the same job is not stopped.
     if (Row.Stops > 0)
       CHECK_TEXT(Sink.StoppedOrders == std::set<std::uint64_t>{Order},
                  Row.Name);
-    // Its runs end before the next row.
+    // The runs end before the next row.
     Coordinator.cancel("j", "test", Now);
     advance(2000ms);
     listHeldOrders("a", {});
--- a/tests/entry/coordinator_placement_test.cpp
+++ b/tests/entry/coordinator_placement_test.cpp
@@ -1,4 +1,4 @@
-//===- Where tasks are placed, wait, are moved and shed -----------------===//
+//===- Where tasks are placed, wait, are moved and are shed ---------------===//
 
 #include "tests/entry/coordinator_fixture.h"
 
@@ -7,17 +7,16 @@
 
 TEST_GROUP_BASE(CoordinatorPlacementTest, CoordinatorFixture){};
 
-// What is known of others' tasks is a message old, so entries meet at workers
-// that each takes for empty.
-TEST(CoordinatorPlacementTest,
-     WhatABusyAgentRefusesIsSentToAnotherAtOnceAndTogether) {
+// An entry knows the tasks of other entries only from the last message, so
+// several entries choose the same worker that each considers idle.
+TEST(CoordinatorPlacementTest, TasksThatABusyAgentRefusesMoveTogetherAtOnce) {
   addAgent("a", 4000);
   addAgent("b", 4000);
   Coordinator.submit(request(4), 1, Now);
   LONGS_EQUAL(2, Sink.Dispatches.size());
   CHECK(Sink.Dispatches[0].second.start_or_refuse());
   std::string Busy = Sink.Dispatches[0].first;
-  // Its load comes with the refusals.
+  // The refusals carry the agent's load.
   for (const peer::LeasedTask &Task : Sink.Dispatches[0].second.tasks()) {
     peer::Message Message;
     peer::LeasedUpdate *Update = Message.mutable_leased_update();
@@ -38,8 +37,9 @@
   LONGS_EQUAL(2, Sink.Dispatches[2].second.tasks_size());
 }
 
-// Else tasks would travel for as long as all workers are full.
-TEST(CoordinatorPlacementTest, AfterSomeRefusalsTasksWaitWhereTheyAreSent) {
+// Otherwise tasks would move between agents for as long as all workers are
+// full.
+TEST(CoordinatorPlacementTest, AfterSomeRefusalsTasksWaitInTheAgentsQueue) {
   addAgent("a", 1000);
   CoordinatorOptions Options;
   Coordinator.submit(patientRequest(1), 1, Now);
@@ -52,7 +52,7 @@
   CHECK_FALSE(Sink.Dispatches.back().second.start_or_refuse());
 }
 
-TEST(CoordinatorPlacementTest, WhatCanOnlyWaitIsNotRefusedForThat) {
+TEST(CoordinatorPlacementTest, TasksThatCanOnlyWaitMayNotBeRefusedAsBusy) {
   addAgent("a", 1000);
   Coordinator.submit(patientRequest(1, "j"), 1, Now);
   CHECK(Sink.Dispatches.back().second.start_or_refuse());
@@ -61,8 +61,9 @@
   CHECK_FALSE(Sink.Dispatches.back().second.start_or_refuse());
 }
 
-// In the queue of one worker it would wait for a slot of that one.
-TEST(CoordinatorPlacementTest, UrgentTasksWithoutRoomTakeWhatFallsFreeFirst) {
+// In the queue of one worker, a task would have to wait for a slot of that
+// worker.
+TEST(CoordinatorPlacementTest, UrgentTasksWithoutCapacityTakeTheFirstOffers) {
   for (const char *Agent : {"a", "b", "c"})
     addAgent(Agent, 1000);
   Coordinator.submit(patientRequest(3, "full"), 1, Now);
@@ -83,7 +84,7 @@
     CHECK(Sink.Dispatches[I].second.start_or_refuse());
     CHECK(Sink.Dispatches[I].second.offer() > 0);
   }
-  // All are placed: whoever offers more gets its room back at once.
+  // All tasks are placed: a further offer is declined at once.
   offer("b", "urgent", 1);
   LONGS_EQUAL(5, Sink.Dispatches.size());
   LONGS_EQUAL(1, Sink.DeclinedOffers["b"]);
@@ -92,8 +93,8 @@
   CHECK(onlyAnswer().End == LeasedEnd::Completed);
 }
 
-// An interest or an offer may have been lost.
-TEST(CoordinatorPlacementTest, WithoutOffersUrgentTasksGoIntoQueuesInTime) {
+// The interest or the offer may have been lost.
+TEST(CoordinatorPlacementTest, WithoutOffersUrgentTasksAreQueuedInTime) {
   addAgent("a", 1000);
   Coordinator.submit(patientRequest(1, "full"), 1, Now);
   Coordinator.submit(request(1, "urgent"), 2, Now);
@@ -104,13 +105,14 @@
   LONGS_EQUAL(2, Sink.Dispatches.size());
   CHECK(Sink.Dispatches[1].second.start_by_ms() > 0);
   CHECK_FALSE(Sink.Dispatches[1].second.start_or_refuse());
-  // What comes late finds nothing to take.
+  // A late offer is declined.
   offer("a", "urgent", 1);
   LONGS_EQUAL(1, Sink.DeclinedOffers["a"]);
 }
 
-// Offers cost messages, and another worker is easily found.
-TEST(CoordinatorPlacementTest, InALargePoolTasksWaitAtWorkers) {
+// Offers cost messages, and a large pool nearly always has a worker with free
+// capacity.
+TEST(CoordinatorPlacementTest, InALargePoolTasksAreQueuedAtWorkers) {
   WaitingOptions Limits;
   std::size_t Workers = Limits.MaxWorkers + 1;
   for (std::size_t I = 0; I < Workers; ++I)
@@ -122,7 +124,7 @@
   LONGS_EQUAL(Workers + 1, Sink.Dispatches.size());
 }
 
-// They are refused as others are: what waits here takes room as well.
+// Jobs are shed as well when the load consists of tasks that wait for offers.
 TEST(CoordinatorPlacementTest, TasksThatWaitForOffersCountAsLoad) {
   addAgent("a", 1000);
   Coordinator.submit(patientRequest(1, "full"), 1, Now);
@@ -143,8 +145,8 @@
   LONGS_EQUAL(1, Sink.Dispatches.size());
 }
 
-// A worker on which tasks stand still answers every call well.
-TEST(CoordinatorPlacementTest, ATaskFarBehindItsSiblingsIsStoppedAndMoved) {
+// A worker on which tasks stall still answers every call.
+TEST(CoordinatorPlacementTest, AStragglerIsStoppedAndMoved) {
   addAgent("a", 2000);
   addAgent("b", 2000);
   addAgent("c", 2000);
@@ -156,7 +158,7 @@
   advance(100ms);
   LONGS_EQUAL(0, Sink.StallStops.size());
   advance(400ms);
-  // Of both tasks there, told again only after a while.
+  // Asks to stop both tasks there, and repeats that only after a delay.
   CHECK(Sink.StallStops.size() >= 2);
   CHECK(Sink.StallStops[0].second.longer_than_ms() > 100);
   STRCMP_EQUAL(Sink.Dispatches[2].first.c_str(),
@@ -167,8 +169,8 @@
     CHECK(Sink.Dispatches[I].first != Sink.Dispatches[2].first);
 }
 
-// Such a worker holds nothing and so looks emptier than all others.
-TEST(CoordinatorPlacementTest, AWorkerThatLeavesStartsUnansweredIsAvoided) {
+// Such a worker holds no tasks and so looks less loaded than all others.
+TEST(CoordinatorPlacementTest, AWorkerThatDoesNotAnswerStartsIsAvoided) {
   addAgent("a");
   addAgent("b");
   for (int I = 0; I < 4; ++I) {
@@ -182,7 +184,7 @@
   LONGS_EQUAL(4, Answers.Answers.size());
 }
 
-TEST(CoordinatorPlacementTest, AWorkerIsEjectedForStartsItLeavesUnanswered) {
+TEST(CoordinatorPlacementTest, AWorkerIsEjectedForUnansweredStarts) {
   addAgent("a", 100000);
   addAgent("b", 2000);
   Coordinator.submit(request(8), 1, Now);
@@ -191,7 +193,7 @@
   LONGS_EQUAL(1, Coordinator.counters().Ejections);
 }
 
-TEST(CoordinatorPlacementTest, AWorkerThatFailsInARowGetsNothingForAWhile) {
+TEST(CoordinatorPlacementTest, AWorkerThatFailsRepeatedlyIsEjected) {
   addAgent("a");
   addAgent("b");
   for (int I = 0; I < 3; ++I) {
@@ -211,8 +213,8 @@
   LONGS_EQUAL(4, Sink.Dispatches.back().second.tasks_size());
 }
 
-// Each entry would else have to lose tasks there to find out.
-TEST(CoordinatorPlacementTest, FailuresThatOthersMetEjectAWorkerHereToo) {
+// Otherwise each entry would have to lose tasks there to find out.
+TEST(CoordinatorPlacementTest, FailuresSeenByOtherEntriesEjectAWorker) {
   auto Tell = [&](std::uint32_t Failures) {
     peer::Message Message;
     peer::WorkerLoad *Load = Message.mutable_worker_load();
@@ -267,8 +269,9 @@
   LONGS_EQUAL(1, Answers.Answers.size());
 }
 
-// An entry that stood still reads what agents sent meanwhile before it looks at
-// the time, and that callers have closed their connections a moment later.
+// After a stall, an entry reads the messages that agents sent meanwhile before
+// it checks deadlines, and only later that callers have closed their
+// connections.
 TEST(CoordinatorPlacementTest, NothingIsPlacedForACallerThatNoLongerWaits) {
   struct Row {
     const char *Name;
@@ -279,17 +282,18 @@
   };
   const Row Rows[] = {
       {"in time", 0ms, false, true, true},
-      {"stood still, the caller waits", 1000ms, true, true, true},
+      {"stalled, the caller waits", 1000ms, true, true, true},
       {"the deadline has passed", 1600ms, false, true, false},
-      {"the deadline has passed meanwhile", 1600ms, true, true, false},
-      {"the caller has gone meanwhile", 1000ms, true, false, false},
-      {"it tells so in its turn", 1000ms, false, false, true}};
+      {"stalled, the deadline has passed", 1600ms, true, true, false},
+      {"stalled, the caller has disconnected", 1000ms, true, false, false},
+      {"not stalled, the close is read in its turn", 1000ms, false, false,
+       true}};
   for (bool Offered : {false, true})
     for (const Row &Row : Rows) {
       Answers.Answers.clear();
       Answers.CallersConnected = true;
       addAgent("a", 1000);
-      // The job waits here for an offer where the worker is full.
+      // With a full worker, the job waits at the entry for an offer.
       LeasedJobRequest Full = patientRequest(1, "full");
       Full.Deadline = 20s;
       if (Offered)
@@ -314,8 +318,8 @@
     }
 }
 
-// A run of an earlier hand-in goes on there. Elsewhere a second one would run
-// beside it.
+// The agent still runs the task for an earlier submission. Placed elsewhere, a
+// second run would overlap with it.
 TEST(CoordinatorPlacementTest, ATaskThatRunsAtAnAgentIsNotStartedElsewhere) {
   addAgent("a");
   addAgent("b");
--- a/tests/entry/crashing_task_test.cpp
+++ b/tests/entry/crashing_task_test.cpp
@@ -1,10 +1,10 @@
 //===- Tasks that crash each worker that starts them ----------------------===//
 //
-// A task may crash each worker that starts it; the worker is back after some
-// seconds. Its run lapses with the worker, and is placed again, until its job's
-// time is over. Without a count of crashes by task one such job of 12 s crashed
-// workers of 24 twelve times, and was started nine times after the third;
-// handed in eight times, sixteen and thirteen (virtual time).
+// Guards against a task that crashes every worker that starts it. The run ends
+// with the worker, so the task is placed again until the deadline of its job;
+// unless crashes are counted by task, one such job takes down worker after
+// worker, and more of them when it is resubmitted. A worker is back after some
+// seconds.
 //
 //===----------------------------------------------------------------------===//
 
@@ -22,17 +22,18 @@
 
 constexpr std::uint32_t Core = 1000;
 
-/// A world with a load of ordinary jobs and some that crash workers.
+/// A cluster in virtual time that runs ordinary jobs and jobs that crash
+/// workers.
 class CrashScenario {
 public:
-  /// \param Counts Whether crashes are counted by task; off only to compare.
+  /// \param CountsCrashes Whether crashes are counted by task; false only for
+  /// comparison.
   CrashScenario(std::uint64_t Seed, std::size_t Agents, std::size_t Entries,
-                bool Counts = true)
-      : World(options(Seed, Agents, Entries, Counts)), Entries(Entries),
+                bool CountsCrashes = true)
+      : World(options(Seed, Agents, Entries, CountsCrashes)), Entries(Entries),
         Random(Seed) {}
 
-  /// \param Tasks Of each job, the first of which crashes its worker if
-  /// \p Crashes.
+  /// \param Tasks Number of tasks; the first crashes its worker if \p Crashes.
   void submit(const std::string &Route, std::uint32_t Tasks,
               std::chrono::milliseconds Length, bool Crashes,
               std::chrono::milliseconds Deadline, const std::string &Id = "") {
@@ -61,13 +62,13 @@
 
 private:
   static LeasedWorldOptions options(std::uint64_t Seed, std::size_t Agents,
-                                    std::size_t Entries, bool Counts) {
+                                    std::size_t Entries, bool CountsCrashes) {
     LeasedWorldOptions Options;
     Options.Seed = Seed;
     Options.Agents = Agents;
     Options.Entries = Entries;
     Options.RoomsMilli = {8 * Core};
-    if (!Counts)
+    if (!CountsCrashes)
       Options.Coordinator.Crashes = {.MostCrashes = SIZE_MAX,
                                      .MostCrashesBeside = SIZE_MAX};
     return Options;
@@ -82,7 +83,7 @@
 
 TEST_GROUP(CrashingTaskTest){};
 
-TEST(CrashingTaskTest, ATaskIsGivenUpUnderWhichTwoWorkersHaveCrashed) {
+TEST(CrashingTaskTest, ATaskIsGivenUpAfterTwoWorkerCrashes) {
   for (std::uint64_t Seed = 1; Seed <= 5; ++Seed) {
     CrashScenario Scenario(Seed, 24, 3);
     Scenario.submit("crashing", 1, 60ms, /*Crashes=*/true, 12s);
@@ -97,8 +98,8 @@
   }
 }
 
-// The caller may hand the job in again at another entry, and again.
-TEST(CrashingTaskTest, AJobThatIsHandedInAgainIsRefusedAsFailed) {
+// The caller may resubmit the job at other entries, several times.
+TEST(CrashingTaskTest, AResubmittedCrashingJobIsRefusedAsFailed) {
   for (std::uint64_t Seed = 1; Seed <= 5; ++Seed) {
     CrashScenario Scenario(Seed, 24, 3);
     for (int Try = 0; Try < 8; ++Try) {
@@ -114,8 +115,9 @@
   }
 }
 
-// What ran beside it on a worker must be served, and not be given up with it.
-TEST(CrashingTaskTest, JobsBesideACrashingTaskAreServed) {
+// Jobs that run on the same worker must be completed, and not be given up with
+// the crashing one.
+TEST(CrashingTaskTest, JobsBesideACrashingTaskAreCompleted) {
   for (std::uint64_t Seed = 1; Seed <= 5; ++Seed) {
     CrashScenario Scenario(Seed, 24, 3);
     for (int I = 0; I < 200; ++I) {
@@ -136,12 +138,13 @@
   }
 }
 
-// Some crashing jobs a second for five seconds, beside an ordinary load. Each
-// takes its two workers and no more, so that the others are served.
+// Several crashing jobs per second for five seconds, beside an ordinary load.
+// Each crashes two workers and no more, so that the ordinary jobs are
+// completed.
 TEST(CrashingTaskTest, AStormOfCrashingJobsTakesTwoWorkersForEach) {
   struct Row {
     const char *Name;
-    bool Counts;
+    bool CountsCrashes;
     std::uint32_t MaxCrashes;
     double MinInTimeShare;
   };
@@ -151,7 +154,7 @@
   for (std::size_t Run = 0; Run < 2 * Seeds; ++Run) {
     std::size_t I = Run % 2;
     const Row &Row = Rows[I];
-    CrashScenario Scenario(/*Seed=*/Run / 2 + 1, 70, 7, Row.Counts);
+    CrashScenario Scenario(/*Seed=*/Run / 2 + 1, 70, 7, Row.CountsCrashes);
     for (int Step = 0; Step < 500; ++Step) {
       for (int Job = 0; Job < 3; ++Job)
         Scenario.submit("ordinary", 3, 300ms, /*Crashes=*/false, 8s);
@@ -170,7 +173,7 @@
         Ordinary.Late, Ordinary.Refused, Ordinary.Failed, Ordinary.Asked);
     CHECK_TEXT(Toll.MostUnderOneTask <= Row.MaxCrashes, Found.c_str());
     CHECK_TEXT(InTime[I] >= Row.MinInTimeShare, Found.c_str());
-    CHECK_TEXT(!Row.Counts || Ordinary.Failed == 0, Found.c_str());
+    CHECK_TEXT(!Row.CountsCrashes || Ordinary.Failed == 0, Found.c_str());
     LONGS_EQUAL(0, Scenario.World.doubledRuns());
     CHECK_TEXT(I == 0 || InTime[0] > InTime[1], Found.c_str());
   }
--- a/tests/entry/lease_coordinator_test.cpp
+++ b/tests/entry/lease_coordinator_test.cpp
@@ -1,4 +1,4 @@
-//===- Jobs that a coordinator takes, answers and gives up --------------===//
+//===- Jobs that a coordinator accepts, answers and gives up --------------===//
 
 #include "tests/entry/coordinator_fixture.h"
 
@@ -19,7 +19,7 @@
   LONGS_EQUAL(0, Coordinator.inFlight());
 }
 
-TEST(LeaseCoordinatorTest, AStaleRefusalIsAnsweredWithTheNewStampThere) {
+TEST(LeaseCoordinatorTest, AStaleRefusalIsRetriedThereWithTheNewStamp) {
   addAgent("a");
   Coordinator.submit(request(1), 1, Now);
   answer(0, peer::LEASED_NOT_STARTED, peer::REFUSAL_STALE);
@@ -34,7 +34,7 @@
   CHECK(onlyAnswer().RetryAfter > 0ms);
 }
 
-TEST(LeaseCoordinatorTest, NotRunIsSaidOnlyWhereEveryTaskIsProvedUnstarted) {
+TEST(LeaseCoordinatorTest, NotRunIsAnsweredOnlyIfEveryTaskIsProvenUnstarted) {
   struct Row {
     peer::LeasedEvent First;
     LeasedEnd Expected;
@@ -57,9 +57,9 @@
   }
 }
 
-// The task has not started for this entry, but one of its job is there for
-// another, to which the caller handed it in before.
-TEST(LeaseCoordinatorTest, AJobThatRunsForAnotherEntryIsNotSaidNotToHaveRun) {
+// The task has not started for this entry, but the agent runs a task of the
+// same job for another entry, to which the caller submitted it before.
+TEST(LeaseCoordinatorTest, AJobThatRunsForAnotherEntryIsNotAnsweredAsNotRun) {
   struct Row {
     peer::LeasedRefusal Refusal;
     LeasedEnd Expected;
@@ -85,9 +85,10 @@
   CHECK(onlyAnswer().End == LeasedEnd::Unknown);
 }
 
-// Until its runs are proved ended, the same job may not begin again here, and
-// nobody may be told that it has not run.
-TEST(LeaseCoordinatorTest, AJobHandedInWhileItIsStoppedBeginsWhenThatHasEnded) {
+// Until its runs are proven to have ended, the job must not start again here,
+// and no caller may be told that it has not run.
+TEST(LeaseCoordinatorTest,
+     AJobResubmittedWhileItIsStoppedStartsOnceItHasEnded) {
   addAgent("a");
   Coordinator.submit(request(1), 1, Now);
   Coordinator.cancel("j", "test", Now);
@@ -106,19 +107,20 @@
   LONGS_EQUAL(0, Coordinator.inFlight());
 }
 
-TEST(LeaseCoordinatorTest, ACallerWhoLeavesTakesNothingFromOthers) {
+TEST(LeaseCoordinatorTest, ACallerThatDisconnectsDoesNotAffectOthers) {
   struct Row {
     const char *Name;
     LeaseTicket Leaves;
     LeasedEnd Second;
     LeasedEnd Third;
   };
-  // The first has been answered; the others wait for the job to begin again.
+  // The first caller has been answered; the others wait for the job to start
+  // again.
   const Row Rows[] = {
-      {"the first", 1, LeasedEnd::Completed, LeasedEnd::Completed},
-      {"the second", 2, LeasedEnd::Unknown, LeasedEnd::Completed},
-      {"the third", 3, LeasedEnd::Completed, LeasedEnd::Unknown},
-      {"a stranger", 4, LeasedEnd::Completed, LeasedEnd::Completed},
+      {"first caller", 1, LeasedEnd::Completed, LeasedEnd::Completed},
+      {"second caller", 2, LeasedEnd::Unknown, LeasedEnd::Completed},
+      {"third caller", 3, LeasedEnd::Completed, LeasedEnd::Unknown},
+      {"unknown caller", 4, LeasedEnd::Completed, LeasedEnd::Completed},
   };
   for (const Row &Row : Rows) {
     addAgent("a");
@@ -141,12 +143,13 @@
   }
 }
 
-TEST(LeaseCoordinatorTest, WhoWaitsForAStoppedJobIsToldTheTruthInTime) {
+TEST(LeaseCoordinatorTest, CallersOfAStoppedJobAreAnsweredUnknownInTime) {
   struct Row {
     const char *Name;
     bool CallerLeaves;
   };
-  const Row Rows[] = {{"its deadline passes", false}, {"it leaves", true}};
+  const Row Rows[] = {{"the deadline passes", false},
+                      {"the caller disconnects", true}};
   for (const Row &Row : Rows) {
     Answers.Answers.clear();
     addAgent("a");
@@ -160,7 +163,7 @@
       Coordinator.cancel(Id, "test", Now);
     else
       advance(240ms);
-    // One of its runs may have begun.
+    // One of its runs may have started.
     CHECK_TEXT(Answers.Answers.back().first == 2 ||
                    Answers.Answers.front().first == 2,
                Row.Name);
@@ -172,17 +175,16 @@
   }
 }
 
-// "Not run" is said of the job, not of a hand-in: its caller hands it in again
-// since nobody could tell him how the first one ended.
-TEST(LeaseCoordinatorTest,
-     AJobThatRanHereIsNotSaidNotToHaveRunWhenItComesAgain) {
+// The answer "not run" is about the job, not about one submission: the caller
+// resubmits the job because the outcome of the first submission is unknown.
+TEST(LeaseCoordinatorTest, AResubmittedJobThatRanHereIsNotAnsweredAsNotRun) {
   struct Row {
     const char *Name;
-    /// How the first hand-in's only task is answered.
+    /// Update for the only task of the first submission.
     peer::LeasedEvent First;
-    /// What has the second refused.
+    /// Makes the coordinator refuse the second submission.
     std::function<void()> Refuse;
-    /// Handed in while the first is still being stopped.
+    /// Whether the job is resubmitted while the first run is being stopped.
     bool Early;
     LeasedEnd Expected;
   };
@@ -195,11 +197,11 @@
   const Row Rows[] = {
       {"ran, no worker now", peer::LEASED_ENDED_EARLY, NoRoom, false,
        LeasedEnd::Unknown},
-      {"ran, waits for its end", peer::LEASED_ENDED_EARLY, NoRoom, true,
-       LeasedEnd::Unknown},
+      {"ran, waits for the end of that run", peer::LEASED_ENDED_EARLY, NoRoom,
+       true, LeasedEnd::Unknown},
       {"ran, overload now", peer::LEASED_ENDED_EARLY, Overload, false,
        LeasedEnd::Unknown},
-      {"never began, no worker now", peer::LEASED_NOT_STARTED, NoRoom, false,
+      {"never started, no worker now", peer::LEASED_NOT_STARTED, NoRoom, false,
        LeasedEnd::NotRun},
   };
   for (const Row &Row : Rows) {
@@ -223,7 +225,7 @@
   }
 }
 
-TEST(LeaseCoordinatorTest, AFailedTaskIsRunElsewhereAsOftenAsItMay) {
+TEST(LeaseCoordinatorTest, AFailedTaskIsRetriedElsewhereUpToItsLimit) {
   addAgent("a");
   addAgent("b");
   Coordinator.submit(request(1), 1, Now);
@@ -235,7 +237,7 @@
   LONGS_EQUAL(2, Sink.Dispatches.size());
 }
 
-TEST(LeaseCoordinatorTest, ASecondHandInOfARunningJobGetsTheSameAnswer) {
+TEST(LeaseCoordinatorTest, AResubmissionOfARunningJobGetsTheSameAnswer) {
   addAgent("a");
   Coordinator.submit(request(1), 1, Now);
   Coordinator.submit(request(1), 2, Now);
@@ -250,8 +252,8 @@
     bool Again;
     std::size_t AnsweredInBetween;
   };
-  const Row Rows[] = {{"handed in once", false, 1},
-                      {"handed in again", true, 0}};
+  const Row Rows[] = {{"submitted once", false, 1},
+                      {"submitted again", true, 0}};
   for (const Row &Row : Rows) {
     Answers.Answers.clear();
     addAgent("a");
--- a/tests/entry/lease_fleet_test.cpp
+++ b/tests/entry/lease_fleet_test.cpp
@@ -1,5 +1,5 @@
-// Many entries with little processor time that share many workers, replayed in
-// virtual time against the real coordinators and keepers.
+// Replays many entries with little CPU time that share many workers, in virtual
+// time, against the real coordinators and keepers.
 
 #include "emulator/mixed_load.h"
 
@@ -11,10 +11,10 @@
 
 namespace {
 
-/// A third of the workers' room is in use.
-constexpr double Calm = 0.6;
+/// Load factor at which a third of the workers' capacity is in use.
+constexpr double NormalLoadFactor = 0.6;
 
-MixedOutcome playFleet(double Factor, std::uint64_t Seed, bool Forecasts) {
+MixedOutcome runFleet(double Factor, std::uint64_t Seed, bool Forecasts) {
   MixedLoadOptions Options = fleetLoad();
   Options.Factor = Factor;
   Options.World.Seed = Seed;
@@ -31,15 +31,16 @@
 
 TEST_GROUP(LeaseFleetTest){};
 
-// An entry hears of a worker every second or two. Taking that for the present
-// sent all tasks of a wide job to workers that had filled up since.
-TEST(LeaseFleetTest, WideShortJobsOfACalmDayAreInTime) {
+// An entry receives a worker's load every second or two. Without forecasts it
+// would treat that as current and send all tasks of a wide job to workers that
+// have filled up since.
+TEST(LeaseFleetTest, WideShortJobsAreInTimeAtNormalLoad) {
   for (std::uint64_t Seed : {1, 2}) {
-    MixedOutcome With = playFleet(Calm, Seed, true);
+    MixedOutcome With = runFleet(NormalLoadFactor, Seed, true);
     LONGS_EQUAL(0, With.DoubledRuns);
     CHECK(With.Routes["wide"].inTimeShare() > 0.99);
     CHECK(refusedShare(With) < 0.07);
-    MixedOutcome Without = playFleet(Calm, Seed, false);
+    MixedOutcome Without = runFleet(NormalLoadFactor, Seed, false);
     CHECK(Without.Routes["wide"].inTimeShare() <
           With.Routes["wide"].inTimeShare());
     CHECK(refusedShare(Without) > 2 * refusedShare(With));
--- a/tests/entry/lease_hunt_test.cpp
+++ b/tests/entry/lease_hunt_test.cpp
@@ -1,5 +1,5 @@
-// Random faults on the leased path, for many seeds. A failing seed is printed
-// with its story.
+// Runs random fault scenarios of the leased path for many seeds. A failing seed
+// is printed with its faults and what callers saw.
 
 #include "tests/entry/lease_scenario.h"
 #include "tests/support/seeds.h"
@@ -15,10 +15,11 @@
 namespace {
 
 constexpr std::uint64_t DefaultSeeds = 60;
-/// Within so many a planted fault must be seen.
+/// A planted fault must be found within this many seeds.
 constexpr std::uint64_t PlantedSeeds = 3000;
 
-/// Plays a story in which workers, and in some all hosts, start again.
+/// Runs a scenario in which workers restart and, for some seeds, all hosts.
+/// \returns whether a violation was found.
 bool failsWithRestarts(std::uint64_t Seed) {
   LeaseScenarioOptions Options = LeaseScenario::options(Seed);
   Options.MaxWorkerCrashes = 6;
@@ -36,7 +37,7 @@
 
 TEST_GROUP(LeaseHuntTest){};
 
-TEST(LeaseHuntTest, NoTaskRunsTwiceAtOnceAndEachHandInIsAnsweredTruly) {
+TEST(LeaseHuntTest, NoRunsOverlapAndEachSubmissionIsAnsweredCorrectly) {
   SeedRange Seeds = seedRange(DefaultSeeds);
   std::uint64_t Completed = 0;
   std::uint64_t Jobs = 0;
@@ -53,13 +54,14 @@
         fmt::format("seed {}: {}{}", Seed, Found, Scenario.describe()).c_str());
   }
   LONGS_EQUAL(0, Bad);
-  // What never ends when all is calm again would be hidden by a check by story.
+  // The check of a single scenario tolerates some jobs that never end; over all
+  // seeds nearly every job must complete.
   CHECK(Completed * 100 >= Jobs * 98);
 }
 
-// Workers crash and start again beside the other faults, each life under the id
-// of the first or under its own.
-TEST(LeaseHuntTest, NoTaskRunsTwiceAtOnceWhereWorkersStartAgain) {
+// In addition to the other faults, workers crash and restart, with the id of
+// the first incarnation or with a new one.
+TEST(LeaseHuntTest, NoRunsOverlapWhenWorkersRestart) {
   SeedRange Seeds = seedRange(DefaultSeeds);
   std::uint32_t Bad = 0;
   for (std::uint64_t Seed = Seeds.First; Seed <= Seeds.Last; ++Seed)
@@ -67,17 +69,19 @@
   LONGS_EQUAL(0, Bad);
 }
 
-// A start that is carried out seconds late reaches the next life of the same
-// id. While its agent stands still or is gone, nothing has fenced it off.
-TEST(LeaseHuntTest, ALateStartIsNotBegunByTheNextLifeOfItsId) {
+// A start call that is executed seconds late reaches the next incarnation of
+// the worker with the same id. While its agent is frozen or dead, that
+// incarnation has not received a fencing token that would reject the call.
+TEST(LeaseHuntTest, ALateStartDoesNotRunInTheNextIncarnation) {
   std::uint32_t Bad = 0;
   for (std::uint64_t Seed : {511, 1785, 2190, 4957})
     Bad += failsWithRestarts(Seed) ? 1 : 0;
   LONGS_EQUAL(0, Bad);
 }
 
-// Each rule off by itself, so that a quiet hunt says something.
-TEST(LeaseHuntTest, TheHuntSeesPlantedFaults) {
+// Disables one rule at a time and expects a violation, to show that the
+// scenarios above would find one.
+TEST(LeaseHuntTest, PlantedFaultsAreFound) {
   struct Row {
     const char *Name;
     void (*Plant)(LeaseScenarioOptions &Options);
@@ -99,15 +103,15 @@
        [](LeaseScenarioOptions &Options) {
          Options.Callers.ResubmitAfter = 0ms;
        }},
-      {"a silent worker's clock is taken to be right",
+      {"no allowance for the clock of an unresponsive worker",
        [](LeaseScenarioOptions &Options) {
          Options.World.Keeper.Session.LapseSlack = 0ms;
        }},
-      {"a confirmed stop counts as an end",
+      {"a confirmed stop counts as the end of the run",
        [](LeaseScenarioOptions &Options) {
          Options.World.Keeper.Session.StopTakes = 0ms;
        }},
-      {"a placement on its way is taken for missing",
+      {"a placement in transit counts as missing",
        [](LeaseScenarioOptions &Options) {
          Options.World.Coordinator.MaxTransitTime = 0ms;
          Options.World.Coordinator.MissingTimeout = 0ms;
@@ -116,21 +120,21 @@
        [](LeaseScenarioOptions &Options) {
          Options.World.Keeper.OrderMemory = 0ms;
        }},
-      {"an entry that stood still does not look whether its callers are there",
+      {"a stalled entry does not check whether callers are connected",
        [](LeaseScenarioOptions &Options) {
          Options.World.Coordinator.CatchUpPeriod = -1ms;
        }},
   };
   for (const Row &Row : Rows) {
-    std::uint64_t SeenAt = 0;
-    for (std::uint64_t Seed = 1; SeenAt == 0 && Seed <= PlantedSeeds; ++Seed) {
+    std::uint64_t FoundAt = 0;
+    for (std::uint64_t Seed = 1; FoundAt == 0 && Seed <= PlantedSeeds; ++Seed) {
       LeaseScenarioOptions Options = LeaseScenario::options(Seed);
       Row.Plant(Options);
       LeaseScenario Scenario(Options);
       Scenario.run();
       if (Scenario.doubledRuns() > 0)
-        SeenAt = Seed;
+        FoundAt = Seed;
     }
-    CHECK_TEXT(SeenAt > 0, Row.Name);
+    CHECK_TEXT(FoundAt > 0, Row.Name);
   }
 }
--- a/tests/entry/lease_overload_test.cpp
+++ b/tests/entry/lease_overload_test.cpp
@@ -1,5 +1,5 @@
-// Loads under which all workers are full for moments, replayed in virtual time
-// against the real coordinators and keepers, with a decision on and off.
+// Replays loads under which all workers are full for moments, in virtual time,
+// against the real coordinators and keepers; some with a feature on and off.
 
 #include "emulator/mixed_load.h"
 
@@ -19,10 +19,10 @@
     double Factor;
     NetworkFaults Faults;
   };
-  const Row Rows[] = {{"calm", 0.8, {}},
+  const Row Rows[] = {{"normal load", 0.8, {}},
                       {"overload", 1.3, {}},
-                      {"late messages", 1, {0, 0, 10ms}},
-                      {"doubled messages", 1, {0, 100, 5ms}},
+                      {"delayed messages", 1, {0, 0, 10ms}},
+                      {"duplicated messages", 1, {0, 100, 5ms}},
                       {"lost messages", 1, {50, 0, 0ms}},
                       {"all of these", 1.2, {30, 50, 10ms}}};
   for (const Row &Row : Rows) {
@@ -48,7 +48,8 @@
     LONGS_EQUAL_TEXT(Seen.InTime, Second[Route].InTime, Route.c_str());
 }
 
-// In the queues of single workers a wide job ends with its unluckiest task.
+// In the queues of single workers, a wide job takes as long as the task that
+// waits longest.
 TEST(LeaseOverloadTest, WideShortJobsAreInTimeBesideLongOnes) {
   for (std::uint64_t Seed : {1, 2, 3}) {
     MixedLoadOptions Options;
--- a/tests/entry/lease_scenario.cpp
+++ b/tests/entry/lease_scenario.cpp
@@ -12,12 +12,12 @@
 constexpr std::chrono::milliseconds FaultPeriod{9000};
 constexpr std::chrono::milliseconds RecoveryPeriod{28000};
 constexpr std::uint32_t Jobs = 40;
-/// Faults come in clusters: what one of them does not break, two within a
-/// lease may.
+/// Faults come in clusters, since several within the time of a lease find
+/// violations that a single one does not.
 constexpr std::uint32_t MaxClusters = 6;
 constexpr std::uint32_t MaxFaultsPerCluster = 5;
 constexpr std::chrono::milliseconds ClusterDuration{1200};
-/// Longer ones are alive for more of the faults.
+/// Longer tasks overlap with more of the faults.
 constexpr std::chrono::milliseconds Lengths[] = {60ms, 200ms, 900ms, 3s, 3s};
 
 std::string agentName(std::size_t Which) {
@@ -113,7 +113,7 @@
   bool ToAgents = this->Random() % 3 != 0;
   bool FromAgents = !ToAgents || this->Random() % 2 == 0;
   bool IsDelayed = this->Random() % 3 == 0;
-  // One link, or all of an entry's or of an agent's.
+  // One link, or all links of an entry or of an agent.
   std::uint64_t Scope = this->Random() % 3;
   std::size_t Entry = this->pickEntry(Target);
   std::size_t Agent = this->pickAgent(Target);
@@ -130,7 +130,7 @@
 
 void LeaseScenario::blockLink(const Link &Way, bool IsDelayed,
                               std::chrono::milliseconds Length) {
-  this->logFault(fmt::format("{} to {} silent for {} ms{}", Way.first,
+  this->logFault(fmt::format("{} to {} blocked for {} ms{}", Way.first,
                              Way.second, Length.count(),
                              IsDelayed ? ", then delivered" : ""));
   if (IsDelayed) {
@@ -157,7 +157,7 @@
     return;
   this->logFault(
       fmt::format("{} frozen for {} ms{}", Node, Length.count(),
-                  Order == ThawOrder::TimersLast ? ", timers last" : ""));
+                  Order == ThawOrder::TimersLast ? ", timers run last" : ""));
   this->World.world().freeze(Node);
   this->World.world().after(
       Length, [this, Node, Order] { this->World.world().thaw(Node, Order); });
@@ -207,7 +207,7 @@
   Faults.Jitter = this->draw(1ms, 300ms);
   std::chrono::milliseconds Length = this->draw(200ms, 4s);
   this->logFault(
-      fmt::format("{} lost and {} doubled of 1000, {} ms of jitter for "
+      fmt::format("{} lost and {} duplicated of 1000, {} ms of jitter for "
                   "{} ms",
                   Faults.LossPermille, Faults.DoublePermille,
                   Faults.Jitter.count() / 1000, Length.count()));
@@ -222,14 +222,14 @@
   std::uint64_t Crashes = 1 + this->Random() % this->Options.MaxWorkerCrashes;
   for (std::uint64_t I = 0; I < Crashes; ++I) {
     std::size_t Which = this->Random() % this->World.agents();
-    // Some are back before anybody has missed them.
+    // Some workers are back before their crash is noticed.
     auto After = this->Random() % 2 == 0 ? this->draw(5ms, 300ms)
                                          : this->draw(300ms, 3s);
     auto Late = this->draw(0ms, 4s);
     this->World.world().after(this->draw(0ms, FaultPeriod), [=, this] {
       this->logFault(
           fmt::format("worker of agent-{} crashes for {} ms, its last "
-                      "announcement comes again after {} ms",
+                      "announcement is repeated after {} ms",
                       Which, After.count(), Late.count()));
       this->World.agent(Which).crashWorker(After, Late);
     });
@@ -260,7 +260,7 @@
   });
 }
 
-// ---- The story ----
+// ---- Scenario ----
 
 void LeaseScenario::planJob(std::chrono::milliseconds At) {
   std::chrono::milliseconds Length =
@@ -314,22 +314,22 @@
 std::string LeaseScenario::findings() const {
   std::string Found;
   if (this->World.doubledRuns() > 0)
-    Found += "two runs at once: " +
+    Found += "overlapping runs of a task: " +
              this->World.runs().describeDoubled(this->World.begun());
   for (std::size_t E = 0; E < this->World.entries(); ++E) {
     const LeasedEntry &Entry = this->World.entry(E);
     if (Entry.unanswered() > 0)
-      Found += fmt::format("{} left {} hand-ins without an answer\n",
+      Found += fmt::format("{} left {} submissions without an answer\n",
                            Entry.name(), Entry.unanswered());
     if (Entry.answeredTwice() > 0)
-      Found += fmt::format("{} answered {} hand-ins twice\n", Entry.name(),
+      Found += fmt::format("{} answered {} submissions twice\n", Entry.name(),
                            Entry.answeredTwice());
     for (HandIn Which : Entry.notRun())
       if (this->World.runs().hasBegun(Which))
-        Found += fmt::format("{} answered that {} has not run, and it has\n",
+        Found += fmt::format("{} answered that {} has not run, but it has\n",
                              Entry.name(), Which);
   }
-  // A job that is taken for one that crashes workers has an end, too.
+  // A job that is given up as crashing has ended as well.
   std::uint32_t Ended = this->completed() + this->givenUpAsCrashing();
   if (Ended * 10 < this->jobs() * 9)
     Found +=
--- a/tests/entry/lease_scenario.h
+++ b/tests/entry/lease_scenario.h
@@ -1,9 +1,10 @@
 //===- tests/entry/lease_scenario.h - Random fault scenario -----*- C++ -*-===//
 ///
 /// \file
-/// One random story of the leased path: jobs of several lengths, and beside
-/// them silences, freezes, kills, noise and lost calls to workers, several at a
-/// time. Then all is mended, and calm for long enough that all can end.
+/// A random scenario of the leased path: jobs of several lengths, and
+/// overlapping faults: blocked links, frozen and killed processes, network
+/// faults and lost calls to workers. Then all faults end, for long enough that
+/// every job can end.
 ///
 //===----------------------------------------------------------------------===//
 #ifndef YARDWHEEL_TESTS_ENTRY_LEASE_SCENARIO_H
@@ -22,28 +23,30 @@
 struct LeaseScenarioOptions {
   LeasedWorldOptions World;
   PersistentCallerOptions Callers;
-  /// Most times that workers crash and start again in a story.
+  /// Maximum number of worker crashes with a restart in a scenario.
   std::uint32_t MaxWorkerCrashes = 0;
-  /// Whether all hosts lose power at the same moment, once.
+  /// Whether all hosts lose power at the same moment, once in the scenario.
   bool PowerLoss = false;
 };
 
 class LeaseScenario {
 public:
-  /// What callers promise and processes are given, for \p Seed.
+  /// Returns the options of the callers and processes for \p Seed.
   static LeaseScenarioOptions options(std::uint64_t Seed);
 
   explicit LeaseScenario(const LeaseScenarioOptions &Options);
 
-  /// Plays it to its end. \returns what is wrong, or nothing.
+  /// Runs the scenario to its end. \returns the violations found; empty if
+  /// there are none.
   std::string run();
-  /// The faults and what callers saw, a line each.
+  /// Returns the faults and what callers saw, one line each.
   std::string describe() const;
   std::uint32_t jobs() const {
     return static_cast<std::uint32_t>(this->Callers.size());
   }
   std::uint32_t completed() const;
-  /// Jobs that ended as crashing, in stories with workers that crash.
+  /// Number of jobs that were given up as crashing, in scenarios with worker
+  /// crashes.
   std::uint32_t givenUpAsCrashing() const;
   std::uint32_t doubledRuns() const { return this->World.doubledRuns(); }
 
@@ -52,7 +55,7 @@
 
   std::chrono::milliseconds draw(std::chrono::milliseconds Min,
                                  std::chrono::milliseconds Max);
-  /// The processes that the faults of one cluster hit more than others.
+  /// The processes that the faults of one cluster hit more often than others.
   struct Focus {
     std::size_t Entry = 0;
     std::size_t Agent = 0;
@@ -69,8 +72,8 @@
   void injectCallFaults(const Focus &Target);
   void injectNetworkFaults();
   void planWorkerCrashes();
-  /// All processes and workers lose power at the same moment, and come back one
-  /// after the other.
+  /// Stops all processes and workers at the same moment; they restart one after
+  /// the other.
   void planPowerLoss();
   void planJob(std::chrono::milliseconds At);
   void logFault(const std::string &What);
@@ -80,9 +83,9 @@
   LeaseScenarioOptions Options;
   LeasedWorld World;
   std::vector<std::unique_ptr<PersistentCaller>> Callers;
-  /// How many silences each direction of a link has now.
+  /// Number of faults that currently block each direction of a link.
   std::map<Link, int> CutCounts;
-  /// Until when messages are held up on their way.
+  /// When delayed messages are delivered, by direction of the link.
   std::map<Link, TimePoint> DelayedUntil;
   std::string Log;
 };
--- a/tests/entry/long_job.h
+++ b/tests/entry/long_job.h
@@ -1,8 +1,8 @@
 //===- tests/entry/long_job.h - A job that outlasts its entry ---*- C++ -*-===//
 ///
 /// \file
-/// A job whose task runs for longer than its caller waits before it hands the
-/// job in again.
+/// A job whose task runs for longer than a caller waits before it resubmits the
+/// job.
 ///
 //===----------------------------------------------------------------------===//
 #ifndef YARDWHEEL_TESTS_ENTRY_LONG_JOB_H
@@ -14,8 +14,8 @@
 
 namespace yardwheel {
 
-/// After an answer or a broken connection, until a caller hands its job in
-/// again.
+/// Delay after an answer or a broken connection before a caller resubmits its
+/// job.
 inline constexpr std::chrono::milliseconds ResubmitAfter{1300};
 inline constexpr std::chrono::milliseconds LongTaskDuration{5000};
 
--- a/tests/entry/older_callers_test.cpp
+++ b/tests/entry/older_callers_test.cpp
@@ -1,4 +1,4 @@
-//===- Jobs that several callers await, of whom some no longer do ---------===//
+//===- Jobs with several callers, some of which disconnect ----------------===//
 
 #include "tests/entry/coordinator_fixture.h"
 
@@ -6,7 +6,7 @@
 using namespace std::chrono_literals;
 
 TEST_GROUP_BASE(OlderCallersTest, CoordinatorFixture){
-    /// Meanwhile the agent is heard.
+    /// Advances to \p End while the agent keeps sending its load.
     void runUntil(TimePoint End){while (Now.Steady < End){advance(100ms);
 reportLoad("a");
 }
@@ -14,21 +14,21 @@
 }
 ;
 
-// A connection may be dead without a sign. Its caller, whose deadline has
-// passed, may have handed the job in elsewhere.
-TEST(OlderCallersTest, NoJobOutlivesTheDeadlineOfTheCallersThatAreLeft) {
+// A connection may be dead without being closed. Its caller, whose deadline has
+// passed, may have resubmitted the job elsewhere.
+TEST(OlderCallersTest, NoJobOutlivesTheDeadlinesOfItsRemainingCallers) {
   struct Row {
     const char *Name;
     std::chrono::milliseconds NewerDeadline;
-    /// After the older one, whose deadline is 1,500 ms.
+    /// Delay after the older submission, whose deadline is 1,500 ms.
     std::chrono::milliseconds NewerAfter;
     bool NewerLeaves;
     bool IsStopped;
   };
   const Row Rows[] = {
-      {"the newer one waits", 1500ms, 1000ms, false, false},
-      {"the newer one leaves", 1500ms, 1000ms, true, true},
-      {"the newer one leaves, had more time", 15000ms, 200ms, true, true},
+      {"newer caller waits", 1500ms, 1000ms, false, false},
+      {"newer caller disconnects", 1500ms, 1000ms, true, true},
+      {"newer caller with more time disconnects", 15000ms, 200ms, true, true},
   };
   for (const Row &Row : Rows) {
     Sink.Stops.clear();
@@ -43,7 +43,7 @@
     this->runUntil(Begin + Row.NewerAfter);
     Coordinator.submit(Newer, 2, Now);
     if (Row.NewerLeaves)
-      Coordinator.withdraw("j", 2, "the caller has gone", Now);
+      Coordinator.withdraw("j", 2, "the caller has disconnected", Now);
     LONGS_EQUAL_TEXT(0, Sink.Stops.size(), Row.Name);
     this->runUntil(Begin + 1600ms);
     CHECK_TEXT(Row.IsStopped == !Sink.Stops.empty(), Row.Name);
--- a/tests/entry/overlapping_runs_test.cpp
+++ b/tests/entry/overlapping_runs_test.cpp
@@ -1,5 +1,6 @@
-// A caller that was answered, or whose connection broke, hands its job in
-// again elsewhere after a while; until then no run of it may be left.
+// A caller that was answered, or whose connection broke, resubmits its job at
+// another entry after a delay. By then no run of the job may be left, or two
+// runs overlap.
 
 #include "emulator/leased_world.h"
 #include "tests/entry/long_job.h"
@@ -15,7 +16,7 @@
 namespace {
 
 constexpr std::uint64_t Seeds = 20;
-/// Longer than any message is waited for.
+/// Longer than the test runs.
 constexpr std::chrono::hours Never{1};
 
 bool isAgent(const std::string &Node) { return Node.starts_with("agent"); }
@@ -24,9 +25,9 @@
 
 TEST_GROUP(OverlappingRunsTest){};
 
-// An entry that hears nothing more of an agent answers its caller, and must not
-// keep the agent's lease alive by what it goes on sending.
-TEST(OverlappingRunsTest, NoRunOutlivesTheAnswerOfAnEntryThatHearsNothing) {
+// An entry that no longer receives messages from an agent answers its caller.
+// The messages that it still sends must not renew the agent's lease.
+TEST(OverlappingRunsTest, NoRunOutlivesTheAnswerOfAnEntryThatReceivesNothing) {
   struct Row {
     const char *Name;
     bool FromAgents;
@@ -34,10 +35,10 @@
     bool Stops;
   };
   const Row Rows[] = {
-      {"entry hears nothing", true, false, false},
-      {"entry hears nothing, and its stops are lost", true, false, true},
-      {"entry reaches nobody", false, true, false},
-      {"neither", true, true, false}};
+      {"nothing reaches the entry", true, false, false},
+      {"nothing reaches the entry, and its stops are lost", true, false, true},
+      {"nothing from the entry arrives", false, true, false},
+      {"both directions blocked", true, true, false}};
   for (const Row &Row : Rows)
     for (std::uint64_t Seed = 1; Seed <= Seeds; ++Seed) {
       LeasedWorldOptions Options;
--- a/tests/entry/placement_leases_test.cpp
+++ b/tests/entry/placement_leases_test.cpp
@@ -1,6 +1,6 @@
-// What an entry names in its renewals. A placement that is not named lapses at
-// its agent, so that nothing an entry sends keeps a run alive of a job that it
-// has answered for.
+// Which placements an entry names in its renewals. The lease of a placement
+// that is not named expires at its agent, so that no message of an entry
+// prolongs a run of a job that it has already answered.
 
 #include "tests/entry/coordinator_fixture.h"
 
@@ -19,8 +19,8 @@
     Coordinator.submit(patientRequest(1, Id), 1, Now);
 return Sink.Dispatches.back().second.tasks(0).order();
 }
-/// What the next renewal for the agent names.
-Orders named() {
+/// Returns the orders that the next renewal to the agent names.
+Orders nextRenewedOrders() {
   int Before = Sink.Renewals["a"];
   for (int I = 0; I < 150 && Sink.Renewals["a"] == Before; ++I)
     advance(20ms);
@@ -30,17 +30,17 @@
 }
 ;
 
-TEST(PlacementLeasesTest, RenewalsNameOnlyPlacementsOfJobsUnderWay) {
+TEST(PlacementLeasesTest, RenewalsNameOnlyPlacementsOfRunningJobs) {
   struct Row {
     const char *Name;
     std::function<void()> End;
     bool IsNamed;
   };
   const Row Rows[] = {
-      {"under way", [] {}, true},
-      {"cancelled, its end not told",
+      {"running", [] {}, true},
+      {"cancelled, no update yet",
        [&] { Coordinator.cancel("j", "test", Now); }, false},
-      {"its caller has gone",
+      {"its caller has disconnected",
        [&] { Coordinator.withdraw("j", 1, "test", Now); }, false},
       {"its deadline has passed",
        [&] {
@@ -50,21 +50,22 @@
          }
        },
        false},
-      {"its agent has been silent", [&] { advance(1000ms); }, false},
+      {"its agent is unresponsive", [&] { advance(1000ms); }, false},
       {"done", [&] { answer(Sink.Dispatches.size() - 1, peer::LEASED_DONE); },
        false}};
   for (const Row &Row : Rows) {
     addAgent("a");
     std::uint64_t Order = place("j");
     Row.End();
-    LONGS_EQUAL_TEXT(Row.IsNamed, named().contains(Order), Row.Name);
+    LONGS_EQUAL_TEXT(Row.IsNamed, nextRenewedOrders().contains(Order),
+                     Row.Name);
     answer(Sink.Dispatches.size() - 1, peer::LEASED_DONE);
     advance(6000ms);
     LONGS_EQUAL_TEXT(0, Coordinator.inFlight(), Row.Name);
   }
 }
 
-TEST(PlacementLeasesTest, ADispatchRenewsWhatIsUnderWayThere) {
+TEST(PlacementLeasesTest, ADispatchRenewsRunningPlacementsAtItsAgent) {
   addAgent("a");
   std::uint64_t First = place("first");
   std::uint64_t Second = place("second");
@@ -75,8 +76,8 @@
   CHECK(First != Second);
 }
 
-// Its first copy may have named placements that were given up since.
-TEST(PlacementLeasesTest, ARepeatedDispatchRenewsNothingElse) {
+// The first copy may have named placements that were given up since.
+TEST(PlacementLeasesTest, AResentDispatchRenewsNothingElse) {
   addAgent("a");
   place("first");
   place("second");
@@ -88,9 +89,9 @@
   LONGS_EQUAL(0, Sink.Dispatches.back().second.renewed_size());
 }
 
-// That a caller has closed its connection lies unread in an entry that stood
-// still, and is handled after its next renewals.
-TEST(PlacementLeasesTest, AnEntryThatStoodStillRenewsForNoCallerThatHasGone) {
+// After a stall, an entry would read that a caller has closed its connection
+// only after it has sent the next renewals.
+TEST(PlacementLeasesTest, AStalledEntryDoesNotRenewForDisconnectedCallers) {
   struct Row {
     const char *Name;
     bool CallersConnected;
@@ -98,7 +99,7 @@
     bool IsNamed;
   };
   const Row Rows[] = {{"the caller waits", true, true, true},
-                      {"the caller has gone", false, true, false},
+                      {"the caller has disconnected", false, true, false},
                       {"the entry kept up", false, false, true}};
   for (const Row &Row : Rows) {
     addAgent("a");
@@ -117,8 +118,8 @@
   }
 }
 
-// The way to an agent may be open while the way back is not.
-TEST(PlacementLeasesTest, AnAgentThatIsTakenForLostIsToldToStop) {
+// Messages to an agent may arrive while those from it do not.
+TEST(PlacementLeasesTest, AnAgentConsideredLostIsToldToStop) {
   addAgent("a");
   std::uint64_t Order = place("j");
   advance(1000ms);
