--- a/entry/lease_coordinator.cpp
+++ b/entry/lease_coordinator.cpp
@@ -43,9 +43,9 @@
                       {"state", peer::MemberState_Name(Member.state())},
                       {"used", this->Workers.find(Member.name())->Alive},
                       {"table_version", Member.version()}});
-  bool Gone = Lost && !this->Workers.find(Member.name())->Alive;
-  if (Gone)
-    this->giveUpAgentTasks(Member.name(), /*OnlyOldLives=*/false,
+  bool IsLost = Lost && !this->Workers.find(Member.name())->Alive;
+  if (IsLost)
+    this->giveUpAgentTasks(Member.name(), /*OnlyOldIncarnations=*/false,
                            "control reported it lost", Now);
   else if (Replaced)
     this->onRestarted(Member.name(), Now);
@@ -147,8 +147,8 @@
 
 bool LeaseCoordinator::provesNotStarted(const Task &JobTask,
                                         const peer::LeasedUpdate &Update) {
-  bool SameLife = Update.load().incarnation() == JobTask.Incarnation;
-  return SameLife || !JobTask.Resent;
+  bool SameIncarnation = Update.load().incarnation() == JobTask.Incarnation;
+  return SameIncarnation || !JobTask.Resent;
 }
 
 void LeaseCoordinator::onNotStarted(Job &Target, Task &JobTask,
@@ -373,8 +373,8 @@
                         Target.Request.Objective);
   std::vector<Caller> Callers = std::move(Target.Callers);
   this->WaitingCallers -= Callers.size();
-  for (const Caller &Told : Callers)
-    this->Answers.onLeasedAnswer(Told.Ticket, Answer);
+  for (const Caller &Answered : Callers)
+    this->Answers.onLeasedAnswer(Answered.Ticket, Answer);
 }
 
 void LeaseCoordinator::forgetIfSettled(const std::string &Id, Instant Now) {
@@ -390,7 +390,7 @@
       std::move(Found->second->NextSubmission);
   this->Jobs.erase(Found);
   if (Next)
-    this->begin(std::move(Next->Request), std::move(Next->Callers), Now);
+    this->startJob(std::move(Next->Request), std::move(Next->Callers), Now);
 }
 
 } // namespace yardwheel
--- a/entry/lease_coordinator.h
+++ b/entry/lease_coordinator.h
@@ -275,7 +275,7 @@
     TimePoint UnansweredSince = TimePoint::max();
     /// When the tasks sent to an earlier incarnation of the agent are given up.
     /// Until then, refusals of some of them may still arrive.
-    TimePoint DropOldLifeAt = TimePoint::max();
+    TimePoint GiveUpOldTasksAt = TimePoint::max();
     /// When messages to the agent were last resent.
     TimePoint LastResendAt = TimePoint::min();
     /// Numbers of the placements whose jobs are still running; only these are
@@ -291,8 +291,8 @@
     std::map<std::uint64_t, GivenUpOrder> GivenUpOrders;
   };
 
-  void begin(LeasedJobRequest Request, std::vector<Caller> Callers,
-             Instant Now);
+  void startJob(LeasedJobRequest Request, std::vector<Caller> Callers,
+                Instant Now);
   /// Returns the latest deadline of the callers.
   static TimePoint lastDeadline(const std::vector<Caller> &Callers);
   /// Holds a resubmission until the earlier runs of the job have ended.
@@ -381,7 +381,7 @@
   void settle(Job &Target, Task &JobTask, TaskPhase Next);
   /// Gives up the tasks sent to an agent, or only those sent to earlier
   /// incarnations of it.
-  void giveUpAgentTasks(const std::string &Agent, bool OnlyOldLives,
+  void giveUpAgentTasks(const std::string &Agent, bool OnlyOldIncarnations,
                         const std::string &Reason, Instant Now);
   void onRestarted(const std::string &Agent, Instant Now);
   void resend(const LeasedWorker &Worker, const Undelivered &Lost, Instant Now);
--- a/entry/lease_coordinator_intake.cpp
+++ b/entry/lease_coordinator_intake.cpp
@@ -29,7 +29,7 @@
     return;
   ++this->WaitingCallers;
   TimePoint Until = Now.Steady + Request.Deadline;
-  this->begin(std::move(Request), {{Waiter, Until}}, Now);
+  this->startJob(std::move(Request), {{Waiter, Until}}, Now);
 }
 
 TimePoint LeaseCoordinator::lastDeadline(const std::vector<Caller> &Callers) {
@@ -39,8 +39,8 @@
   return Last;
 }
 
-void LeaseCoordinator::begin(LeasedJobRequest Request,
-                             std::vector<Caller> Callers, Instant Now) {
+void LeaseCoordinator::startJob(LeasedJobRequest Request,
+                                std::vector<Caller> Callers, Instant Now) {
   if (this->rejectCrashingJob(Request, Callers))
     return;
   auto New = std::make_unique<Job>();
@@ -69,8 +69,8 @@
   ++this->Counters.JobsCrashing;
   ++this->Counters.Failed;
   this->WaitingCallers -= Callers.size();
-  for (const Caller &Told : Callers)
-    this->Answers.onLeasedAnswer(Told.Ticket,
+  for (const Caller &Answered : Callers)
+    this->Answers.onLeasedAnswer(Answered.Ticket,
                                  {LeasedEnd::Failed, "submit", "", Why, {}});
   return true;
 }
@@ -94,9 +94,9 @@
   std::vector<Caller> Callers = std::move(Known.NextSubmission->Callers);
   Known.NextSubmission.reset();
   this->WaitingCallers -= Callers.size();
-  for (const Caller &Told : Callers)
+  for (const Caller &Answered : Callers)
     this->Answers.onLeasedAnswer(
-        Told.Ticket, {End, "submit", "", Reason, this->Options.RetryAfter});
+        Answered.Ticket, {End, "submit", "", Reason, this->Options.RetryAfter});
 }
 
 bool LeaseCoordinator::shedIfOverloaded(const LeasedJobRequest &Request,
--- a/entry/lease_coordinator_watch.cpp
+++ b/entry/lease_coordinator_watch.cpp
@@ -17,7 +17,8 @@
 // ---- Agent liveness ----
 
 void LeaseCoordinator::onRestarted(const std::string &Agent, Instant Now) {
-  this->Contacts[Agent].DropOldLifeAt = Now.Steady + this->Options.RestartGrace;
+  this->Contacts[Agent].GiveUpOldTasksAt =
+      Now.Steady + this->Options.RestartGrace;
 }
 
 bool LeaseCoordinator::isCatchingUp(Instant Now) const {
@@ -52,15 +53,15 @@
   // All messages in transit when a connection broke are reported as undelivered
   // together.
   bool SameBreak = Lost.SentAt < AgentContact.LastResendAt;
-  bool HeardSince = Worker->Heard >= AgentContact.LastResendAt;
-  if (SameBreak || HeardSince) {
+  bool ReceivedSince = Worker->Heard >= AgentContact.LastResendAt;
+  if (SameBreak || ReceivedSince) {
     if (!SameBreak)
       AgentContact.LastResendAt = Now.Steady;
     this->resend(*Worker, Lost, Now);
     return;
   }
   this->Workers.setSilent(Lost.To.Node);
-  this->giveUpAgentTasks(Lost.To.Node, /*OnlyOldLives=*/false,
+  this->giveUpAgentTasks(Lost.To.Node, /*OnlyOldIncarnations=*/false,
                          "messages to it were undelivered twice in a row", Now);
 }
 
@@ -120,7 +121,7 @@
 }
 
 void LeaseCoordinator::giveUpAgentTasks(const std::string &Agent,
-                                        bool OnlyOldLives,
+                                        bool OnlyOldIncarnations,
                                         const std::string &Reason,
                                         Instant Now) {
   ++this->Counters.AgentsLost;
@@ -133,7 +134,7 @@
     bool Earlier =
         Worker == nullptr || JobTask.Incarnation < Worker->Incarnation;
     return JobTask.Phase == TaskPhase::Sent && JobTask.Agent == Agent &&
-           (Earlier || !OnlyOldLives);
+           (Earlier || !OnlyOldIncarnations);
   };
   std::vector<std::string> Concerned;
   for (const auto &[Id, Known] : this->Jobs)
@@ -263,7 +264,7 @@
 }
 
 void LeaseCoordinator::renewLeases(Instant Now) {
-  std::vector<std::string> Silent;
+  std::vector<std::string> Unresponsive;
   std::vector<std::string> Restarted;
   std::vector<std::string> Lost;
   std::vector<PeerRef> ToReconnect;
@@ -284,8 +285,8 @@
     if (Next == this->Contacts.end() || Next->first != Agent)
       Next = this->Contacts.try_emplace(Next, Agent);
     Contact &AgentContact = Next->second;
-    if (Now.Steady >= AgentContact.DropOldLifeAt) {
-      AgentContact.DropOldLifeAt = TimePoint::max();
+    if (Now.Steady >= AgentContact.GiveUpOldTasksAt) {
+      AgentContact.GiveUpOldTasksAt = TimePoint::max();
       Restarted.push_back(Agent);
     }
     // The reply may have arrived without having been read: the probe is
@@ -299,7 +300,7 @@
     bool Idle = Worker.OwnTasks == 0;
     if (!Idle &&
         isUnanswered(AgentContact, this->Options.AgentLossTimeout, Now))
-      Silent.push_back(Agent);
+      Unresponsive.push_back(Agent);
     else if (!Idle &&
              isUnanswered(AgentContact, this->Options.ReconnectTimeout, Now))
       ToReconnect.push_back(Worker.Agent);
@@ -310,17 +311,17 @@
   for (const PeerRef &Agent : ToReconnect)
     this->Sink.reconnect(Agent);
   for (const std::string &Agent : Restarted)
-    this->giveUpAgentTasks(Agent, /*OnlyOldLives=*/true,
+    this->giveUpAgentTasks(Agent, /*OnlyOldIncarnations=*/true,
                            "the agent has restarted", Now);
   for (const std::string &Agent : Lost) {
     this->Workers.setLost(Agent);
     this->giveUpAgentTasks(
-        Agent, /*OnlyOldLives=*/false,
+        Agent, /*OnlyOldIncarnations=*/false,
         "control reported it lost and it is unreachable from this entry", Now);
   }
-  for (const std::string &Agent : Silent) {
+  for (const std::string &Agent : Unresponsive) {
     this->Workers.setSilent(Agent);
-    this->giveUpAgentTasks(Agent, /*OnlyOldLives=*/false,
+    this->giveUpAgentTasks(Agent, /*OnlyOldIncarnations=*/false,
                            "it left lease renewals unanswered", Now);
   }
 }
@@ -329,11 +330,11 @@
                                     const Contact &AgentContact,
                                     Instant Now) const {
   if (Worker.OwnTasks > 0) {
-    bool Unheard = AgentContact.UnansweredSince == TimePoint::max() &&
-                   AgentContact.FirstDispatchAt != TimePoint::max() &&
-                   Now.Steady - AgentContact.FirstDispatchAt >=
-                       this->Options.DispatchProbeDelay;
-    return Unheard || Now.Steady >= AgentContact.NextRenewal;
+    bool NothingReceived = AgentContact.UnansweredSince == TimePoint::max() &&
+                           AgentContact.FirstDispatchAt != TimePoint::max() &&
+                           Now.Steady - AgentContact.FirstDispatchAt >=
+                               this->Options.DispatchProbeDelay;
+    return NothingReceived || Now.Steady >= AgentContact.NextRenewal;
   }
   // An idle agent is probed only if nothing else has been received from it.
   std::chrono::milliseconds Pause = Worker.Silent || Worker.Doubtful
--- a/tests/entry/coordinator_agents_test.cpp
+++ b/tests/entry/coordinator_agents_test.cpp
@@ -82,9 +82,9 @@
 // The agent may be disconnected from control only, while its worker has free
 // capacity.
 TEST(CoordinatorAgentsTest, AnAgentLostByControlIsUsedWhileReachableHere) {
-  auto Hear = [&] { this->reportLoad("a"); };
+  auto ReportLoad = [&] { this->reportLoad("a"); };
   addAgent("a");
-  Hear();
+  ReportLoad();
   LeasedJobRequest Long = request(1);
   Long.Deadline = 10s;
   Coordinator.submit(Long, 1, Now);
@@ -92,7 +92,7 @@
   LONGS_EQUAL(0, Answers.Answers.size());
   for (int I = 0; I < 10; ++I) {
     advance(400ms);
-    Hear();
+    ReportLoad();
   }
   answer(0, peer::LEASED_DONE);
   CHECK(onlyAnswer().End == LeasedEnd::Completed);
--- a/tests/entry/coordinator_placement_test.cpp
+++ b/tests/entry/coordinator_placement_test.cpp
@@ -215,7 +215,7 @@
 
 // Otherwise each entry would have to lose tasks there to find out.
 TEST(CoordinatorPlacementTest, FailuresSeenByOtherEntriesEjectAWorker) {
-  auto Tell = [&](std::uint32_t Failures) {
+  auto ReportFailures = [&](std::uint32_t Failures) {
     peer::Message Message;
     peer::WorkerLoad *Load = Message.mutable_worker_load();
     Load->set_incarnation(AgentIncarnation);
@@ -232,7 +232,7 @@
   addAgent("b");
   int Number = 0;
   for (const Row &Row : Rows) {
-    Tell(Row.Failures);
+    ReportFailures(Row.Failures);
     Sink.Dispatches.clear();
     std::string Id = "j" + std::to_string(++Number);
     Coordinator.submit(request(4, Id.c_str()), 1, Now);
--- a/tests/entry/lease_scenario.cpp
+++ b/tests/entry/lease_scenario.cpp
@@ -120,29 +120,30 @@
   std::chrono::milliseconds Length = this->draw(200ms, 4s);
   for (std::size_t E = 0; E < this->World.entries(); ++E)
     for (std::size_t A = 0; A < this->World.agents(); ++A) {
-      bool Meant = (Scope == 1 || E == Entry) && (Scope == 2 || A == Agent);
-      if (Meant && ToAgents)
+      bool IsAffected =
+          (Scope == 1 || E == Entry) && (Scope == 2 || A == Agent);
+      if (IsAffected && ToAgents)
         this->blockLink({entryName(E), agentName(A)}, IsDelayed, Length);
-      if (Meant && FromAgents)
+      if (IsAffected && FromAgents)
         this->blockLink({agentName(A), entryName(E)}, IsDelayed, Length);
     }
 }
 
-void LeaseScenario::blockLink(const Link &Way, bool IsDelayed,
+void LeaseScenario::blockLink(const Link &Direction, bool IsDelayed,
                               std::chrono::milliseconds Length) {
-  this->logFault(fmt::format("{} to {} blocked for {} ms{}", Way.first,
-                             Way.second, Length.count(),
+  this->logFault(fmt::format("{} to {} blocked for {} ms{}", Direction.first,
+                             Direction.second, Length.count(),
                              IsDelayed ? ", then delivered" : ""));
   if (IsDelayed) {
-    TimePoint &Until = this->DelayedUntil[Way];
+    TimePoint &Until = this->DelayedUntil[Direction];
     Until = std::max(Until, this->World.world().now().Steady + Length);
     return;
   }
-  if (this->CutCounts[Way]++ == 0)
-    this->World.world().cutOneWay(Way.first, Way.second);
-  this->World.world().after(Length, [this, Way] {
-    if (--this->CutCounts[Way] == 0)
-      this->World.world().mendOneWay(Way.first, Way.second);
+  if (this->CutCounts[Direction]++ == 0)
+    this->World.world().cutOneWay(Direction.first, Direction.second);
+  this->World.world().after(Length, [this, Direction] {
+    if (--this->CutCounts[Direction] == 0)
+      this->World.world().mendOneWay(Direction.first, Direction.second);
   });
 }
 
--- a/tests/entry/lease_scenario.h
+++ b/tests/entry/lease_scenario.h
@@ -65,7 +65,7 @@
   void planCluster();
   void causeFault(const Focus &Target);
   void blockLinks(const Focus &Target);
-  void blockLink(const Link &Way, bool IsDelayed,
+  void blockLink(const Link &Direction, bool IsDelayed,
                  std::chrono::milliseconds Length);
   void freeze(const Focus &Target);
   void kill(const Focus &Target);
--- a/tests/entry/left_callers_test.cpp
+++ b/tests/entry/left_callers_test.cpp
@@ -28,7 +28,7 @@
   struct Row {
     const char *Name;
     /// The job has been submitted at this entry before.
-    bool TakenBefore;
+    bool SubmittedBefore;
     /// The entry is frozen before the request arrives, between reading it and
     /// passing it on, or after its dispatch.
     std::chrono::milliseconds FreezeAfter;
@@ -51,7 +51,7 @@
         return World.handIn(Entry, longJob(), {LongTaskDuration},
                             [](const auto &) {});
       };
-      if (Row.TakenBefore) {
+      if (Row.SubmittedBefore) {
         World.entry(0).hangUp(Submit(0));
         World.world().run(ResubmitAfter);
       }
