--- a/entry/lease_coordinator.h
+++ b/entry/lease_coordinator.h
@@ -70,8 +70,9 @@
   /// its job has stalled. Run times of tasks of one job differ by some tens of
   /// percent.
   double StallFactor = 2.5;
-  /// The same factor on the declared run time, used while no task of the job
-  /// has completed. Larger, since declared times are often off by half.
+  /// Like StallFactor, but relative to the declared run time; used while no
+  /// task of the job has completed. Larger, since declared times are often off
+  /// by half.
   double StallEstimateFactor = 5;
   /// Added to both limits, for the time that is not spent in the task itself.
   std::chrono::milliseconds StallSlack{100};
@@ -96,11 +97,11 @@
   std::chrono::milliseconds MissingTimeout{500};
   /// Maximum number of placements of a task; then its job is given up.
   std::uint32_t MaxPlacements = 12;
-  /// Maximum number of retries of a job in which a busy agent may still refuse
-  /// its tasks so that another is tried; after that they wait in the queue of
-  /// the agent that they are sent to. A refusal costs one round trip, whereas a
-  /// queued task waits for the rest of another task; so several retries pay off
-  /// at high load.
+  /// Up to this number of placement retries of a job, a busy agent may refuse
+  /// its tasks, so that another agent is tried; after that they wait in the
+  /// queue of the agent that they are sent to. A refusal costs one round trip,
+  /// whereas a queued task waits until another task ends; so several retries
+  /// pay off at high load.
   std::uint32_t MaxRefusableRetries = 6;
   /// How long a job that is given up waits for proof that none of its tasks has
   /// started. Some round trips between data centres.
@@ -151,6 +152,8 @@
   LeaseCoordinator(const CoordinatorOptions &Options, PeerSink &Sink,
                    LeasedAnswerSink &Answers);
 
+  /// Accepts or refuses a job, or joins one that is in progress. The answer
+  /// goes to the sink, possibly during this call.
   void submit(LeasedJobRequest Request, LeaseTicket Waiter, Instant Now);
   /// Removes a caller that has disconnected. The job is cancelled if no other
   /// caller waits for it.
@@ -160,6 +163,7 @@
   void cancel(const std::string &Id, const std::string &Reason, Instant Now);
   /// Cancels all jobs, at shutdown.
   void cancelAll(const std::string &Reason, Instant Now);
+  /// Handles a change in the member table of control.
   void onMember(const peer::Member &Member, Instant Now);
   void onMessage(const PeerRef &From, const peer::Message &Message,
                  Instant Now);
@@ -225,7 +229,7 @@
   /// One submission of a job and its deadline.
   struct Caller {
     LeaseTicket Ticket = 0;
-    TimePoint Until;
+    TimePoint Deadline;
   };
   struct Job {
     LeasedJobRequest Request;
@@ -244,7 +248,8 @@
     std::uint32_t PlacementRetries = 0;
     /// Number of tasks that wait for offers.
     std::uint32_t AwaitingOffers = 0;
-    /// How many of these agents have already been asked to offer capacity for.
+    /// Number of waiting tasks for which agents have already been asked to
+    /// offer capacity.
     std::uint32_t OffersRequested = 0;
     /// Agents that have been asked and may still send an offer.
     std::set<std::string> AskedAgents;
@@ -308,12 +313,14 @@
   /// it was refused.
   bool shedIfOverloaded(const LeasedJobRequest &Request, LeaseTicket Waiter,
                         Instant Now);
+  /// Places all unplaced tasks of a job, or gives it up if that is impossible.
   void place(Job &Target, Instant Now);
   /// Gives up a job whose deadline has passed or whose callers have
   /// disconnected. \returns whether the job was given up.
   bool endIfUnwanted(Job &Target, Instant Now);
   /// Whether this process was behind on its input within CatchUpPeriod.
   bool isCatchingUp(Instant Now) const;
+  /// Leaves a job to the next call of placeScheduled.
   void schedulePlacement(Job &Target);
   /// Places tasks that must avoid the same agents, or lets them wait for
   /// offers. \returns false if some can do neither.
@@ -332,7 +339,8 @@
   void awaitOffers(Job &Target, const std::set<std::string> &Avoid,
                    std::uint32_t Tasks, Instant Now);
   /// Tells the agents that were asked for offers that no more tasks wait.
-  /// Otherwise a slot reserved in vain would stay idle for a round trip.
+  /// Otherwise they would reserve a slot in vain, which stays idle for a round
+  /// trip.
   void withdrawInterest(Job &Target);
   /// Returns the demand of all tasks that wait for offers, in thousandths of a
   /// core.
@@ -378,6 +386,7 @@
                     const peer::LeasedUpdate &Update, Instant Now);
   void onTaskFailed(Job &Target, Task &JobTask, const std::string &Agent,
                     const peer::LeasedUpdate &Update, Instant Now);
+  /// Ends the current placement of a task.
   void settle(Job &Target, Task &JobTask, TaskPhase Next);
   /// Gives up the tasks sent to an agent, or only those sent to earlier
   /// incarnations of it.
@@ -388,10 +397,14 @@
   void resendDispatch(const LeasedWorker &Worker,
                       const peer::LeasedDispatch &Lost,
                       std::chrono::milliseconds Age, Instant Now);
+  /// Stops the tasks of a job. Its callers are answered once it is proven
+  /// whether any task has run, or after ProofTimeout.
   void giveUp(Job &Target, LeasedAnswer Answer, Instant Now);
   void stopTasks(Job &Target);
   void finish(Job &Target, LeasedAnswer Answer, Instant Now);
   void finishIfProven(Job &Target, Instant Now);
+  /// Removes a job that is answered and whose placements have all ended, and
+  /// starts its held resubmission.
   void forgetIfSettled(const std::string &Id, Instant Now);
   void renewLeases(Instant Now);
   /// Whether a renewal to the agent has been unanswered for longer than \p
--- a/entry/lease_coordinator_intake.cpp
+++ b/entry/lease_coordinator_intake.cpp
@@ -35,7 +35,7 @@
 TimePoint LeaseCoordinator::lastDeadline(const std::vector<Caller> &Callers) {
   TimePoint Last = TimePoint::min();
   for (const Caller &Known : Callers)
-    Last = std::max(Last, Known.Until);
+    Last = std::max(Last, Known.Deadline);
   return Last;
 }
 
--- a/tests/entry/coordinator_fixture.h
+++ b/tests/entry/coordinator_fixture.h
@@ -12,7 +12,7 @@
 
 #include <algorithm>
 
-// Last: it redefines new.
+// Must be included last: it redefines new.
 #include <CppUTest/TestHarness.h>
 
 namespace yardwheel {
--- a/tests/entry/lease_fleet_test.cpp
+++ b/tests/entry/lease_fleet_test.cpp
@@ -3,7 +3,7 @@
 
 #include "emulator/mixed_load.h"
 
-// Last: it redefines new.
+// Must be included last: it redefines new.
 #include <CppUTest/TestHarness.h>
 
 using namespace yardwheel;
--- a/tests/entry/left_callers_test.cpp
+++ b/tests/entry/left_callers_test.cpp
@@ -7,7 +7,7 @@
 
 #include <fmt/format.h>
 
-// Last: it redefines new.
+// Must be included last: it redefines new.
 #include <CppUTest/TestHarness.h>
 
 using namespace yardwheel;
