--- a/tests/entry/coordinator_agents_test.cpp
+++ b/tests/entry/coordinator_agents_test.cpp
@@ -1,27 +1,27 @@
-//===- Agents that leave, restart, fall silent or are renewed -----------===//
+//===- Agents that leave, restart, stop answering or are renewed ----------===//
 
-#include "tests/entry/coordinator_bench.h"
+#include "tests/entry/coordinator_fixture.h"
 
 using namespace yardwheel;
 using namespace std::chrono_literals;
 
-TEST_GROUP_BASE(CoordinatorAgentsTest, CoordinatorBench){};
+TEST_GROUP_BASE(CoordinatorAgentsTest, CoordinatorFixture){};
 
-TEST(CoordinatorAgentsTest, AnAgentThatIsGoneLeavesItsJobsUnknown) {
+TEST(CoordinatorAgentsTest, JobsOfALostAgentEndAsUnknown) {
   struct Row {
     const char *Name;
     std::function<void()> Lose;
   };
   const Row Rows[] = {
-      {"lost", [&] { loseToControl("a"); }},
+      {"lost", [&] { markLostByControl("a"); }},
       {"unreachable",
        [&] {
-         loseDispatch(Sink.Dispatches.size() - 1);
+         failDispatchDelivery(Sink.Dispatches.size() - 1);
          LONGS_EQUAL(0, Answers.Answers.size());
          Now.Steady += 20ms;
-         loseDispatch(Sink.Dispatches.size() - 1);
+         failDispatchDelivery(Sink.Dispatches.size() - 1);
        }},
-      {"silent", [&] { pass(1000ms); }},
+      {"unresponsive", [&] { advance(1000ms); }},
   };
   for (const Row &Row : Rows) {
     Answers.Answers.clear();
@@ -34,8 +34,8 @@
   }
 }
 
-// Its connection may have broken or gone silent while new ones work.
-TEST(CoordinatorAgentsTest, ADispatchWithoutReceiptIsSentAgain) {
+// Guards against a connection that breaks or hangs while new connections work.
+TEST(CoordinatorAgentsTest, AnUndeliveredDispatchIsResent) {
   addAgent("a");
   Coordinator.submit(request(3), 1, Now);
   std::uint64_t First = Sink.Dispatches[0].second.tasks(0).order();
@@ -51,24 +51,24 @@
   LONGS_EQUAL(Sink.Dispatches[0].second.start_by_ms() - 300,
               Again.start_by_ms());
   LONGS_EQUAL(1, Sink.Renewals["a"]);
-  // All that was under way on the broken connection fails with it.
+  // All messages in transit on the broken connection fail with it.
   Coordinator.onUndelivered({{"a", "10.0.0.1:1"}, Now.Steady - 200ms, Sent},
                             Now);
   LONGS_EQUAL(0, Answers.Answers.size());
-  // Only what still waits for an end is sent again.
+  // Only tasks that have not ended are sent again.
   answer(0, peer::LEASED_DONE);
   CHECK(onlyAnswer().End == LeasedEnd::Completed);
   std::size_t Before = Sink.Dispatches.size();
   Now.Steady += 300ms;
-  loseDispatch(0);
+  failDispatchDelivery(0);
   LONGS_EQUAL(Before, Sink.Dispatches.size());
 }
 
-// The same job may have been handed in, given up and handed in again.
-TEST(CoordinatorAgentsTest, AnUpdateOfAnEarlierSubmissionChangesNothing) {
+// The same job may have been submitted, given up and submitted again.
+TEST(CoordinatorAgentsTest, AnUpdateOfAnEarlierSubmissionIsIgnored) {
   addAgent("a");
   Coordinator.submit(request(1), 1, Now);
-  loseToControl("a");
+  markLostByControl("a");
   LONGS_EQUAL(1, Answers.Answers.size());
   addAgent("a");
   Coordinator.submit(request(1), 2, Now);
@@ -79,71 +79,74 @@
   CHECK(Answers.Answers.back().second.End == LeasedEnd::Completed);
 }
 
-// It may be cut off from control only, and its worker has room.
-TEST(CoordinatorAgentsTest, AnAgentThatControlLostIsUsedWhileItIsHeardHere) {
-  auto Hear = [&] { this->hear("a"); };
+// The agent may be disconnected from control only, while its worker has free
+// capacity.
+TEST(CoordinatorAgentsTest, AnAgentLostByControlIsUsedWhileReachableHere) {
+  auto ReportLoad = [&] { this->reportLoad("a"); };
   addAgent("a");
-  Hear();
+  ReportLoad();
   LeasedJobRequest Long = request(1);
   Long.Deadline = 10s;
   Coordinator.submit(Long, 1, Now);
   setState("a", peer::MEMBER_LOST);
   LONGS_EQUAL(0, Answers.Answers.size());
   for (int I = 0; I < 10; ++I) {
-    pass(400ms);
-    Hear();
+    advance(400ms);
+    ReportLoad();
   }
   answer(0, peer::LEASED_DONE);
   CHECK(onlyAnswer().End == LeasedEnd::Completed);
   Coordinator.submit(request(1, "k"), 2, Now);
   LONGS_EQUAL(2, Sink.Dispatches.size());
   answer(1, peer::LEASED_DONE);
-  // Idle and no longer heard: neither control nor this entry knows of it.
-  pass(3000ms);
+  // Idle and sending nothing: neither control nor this entry reaches the agent.
+  advance(3000ms);
   Coordinator.submit(request(1, "l"), 3, Now);
   LONGS_EQUAL(2, Sink.Dispatches.size());
   CHECK(Answers.Answers.back().second.End == LeasedEnd::NotRun);
-  // Control hears it again.
+  // Control reaches the agent again.
   addAgent("a");
   Coordinator.submit(request(1, "m"), 4, Now);
   LONGS_EQUAL(3, Sink.Dispatches.size());
 }
 
-// Control may tell of the new life later than the agent itself does.
-TEST(CoordinatorAgentsTest, ARestartedAgentIsKnownByItsOwnWords) {
+// The agent's own messages may show its new incarnation before control does.
+TEST(CoordinatorAgentsTest, ARestartIsKnownFromTheAgentsOwnMessages) {
   addAgent("a");
   Coordinator.submit(request(1), 1, Now);
   peer::Message Load;
-  Load.mutable_worker_load()->set_incarnation(AgentLife + 1);
+  Load.mutable_worker_load()->set_incarnation(AgentIncarnation + 1);
   Load.mutable_worker_load()->set_stamp(5);
   Coordinator.onMessage({"a", "10.0.0.1:1"}, Load, Now);
-  pass(80ms);
+  advance(80ms);
   CHECK(onlyAnswer().End == LeasedEnd::Unknown);
   Coordinator.submit(request(1, "k"), 2, Now);
   LONGS_EQUAL(2, Sink.Dispatches.size());
-  LONGS_EQUAL(AgentLife + 1, Sink.Dispatches[1].second.agent_incarnation());
-  // The stamp that was heard, and the time since then.
+  LONGS_EQUAL(AgentIncarnation + 1,
+              Sink.Dispatches[1].second.agent_incarnation());
+  // The last stamp received, plus the time since then.
   CHECK(Sink.Dispatches[1].second.stamp() > 5);
   CHECK(Sink.Dispatches[1].second.stamp() <= 5 + 80);
 }
 
-// After a common restart control knows of agents before this entry can reach
-// them. What is sent then fails, and its callers never learn what became of it.
-TEST(CoordinatorAgentsTest, AnAgentGetsNoTasksUntilItHasBeenHeardHere) {
-  tellOf("a");
+// After a restart of all processes, control knows of agents before this entry
+// can reach them. Tasks sent then would be lost and their jobs end as unknown.
+TEST(CoordinatorAgentsTest, AnAgentGetsNoTasksBeforeItsFirstMessage) {
+  announceAgent("a");
   CHECK_FALSE(Coordinator.hasWorkers());
   Coordinator.submit(request(1), 1, Now);
   CHECK(onlyAnswer().End == LeasedEnd::NotRun);
   Coordinator.tick(Now);
   LONGS_EQUAL(1, Sink.Renewals["a"]);
-  hear("a");
+  reportLoad("a");
   CHECK(Coordinator.hasWorkers());
   Coordinator.submit(request(1), 2, Now);
   LONGS_EQUAL(1, Sink.Dispatches.size());
 }
 
-// An entry on a slow host answers late, and so hears late.
-TEST(CoordinatorAgentsTest, AnEntryThatIsBehindTakesNobodyForSilent) {
+// An entry on a slow host reads its input late, so replies of agents only seem
+// late.
+TEST(CoordinatorAgentsTest, AnEntryThatIsBehindConsidersNoAgentLost) {
   addAgent("a");
   Coordinator.submit(request(1), 1, Now);
   LeasedJobRequest Other = request(1, "k");
@@ -151,34 +154,34 @@
     Now.Steady += 100ms;
     Coordinator.tick(Now, /*LastBehind=*/Now.Steady);
     if (Passed == 500ms)
-      loseDispatch(0);
+      failDispatchDelivery(0);
   }
-  // Its caller's deadline is its own.
+  // The deadline of the caller still applies.
   LONGS_EQUAL(1, Answers.Answers.size());
   STRCMP_EQUAL("deadline", onlyAnswer().Step.c_str());
   LONGS_EQUAL(0, Sink.Reconnects["a"]);
   LONGS_EQUAL(0, Coordinator.counters().AgentsLost);
-  // Once it has read all, what is unanswered from then on counts.
+  // Once the entry has caught up, renewals left unanswered count again.
   Now.Steady += 1000ms;
-  hear("a");
+  reportLoad("a");
   Coordinator.submit(Other, 2, Now);
-  pass(1000ms);
+  advance(1000ms);
   LONGS_EQUAL(1, Coordinator.counters().AgentsLost);
 }
 
-// Until it is taken for lost, each job sent there may be lost with it.
-TEST(CoordinatorAgentsTest, AnAgentThatLeavesAQuestionOpenGetsNoMoreTasks) {
+// Jobs sent to the agent before it is considered lost would be lost with it.
+TEST(CoordinatorAgentsTest, AnAgentThatLeavesAProbeUnansweredGetsNoTasks) {
   addAgent("a", 64000);
   addAgent("b", 1000);
   Coordinator.submit(request(2), 1, Now);
   STRCMP_EQUAL("a", Sink.Dispatches[0].first.c_str());
-  pass(400ms);
+  advance(400ms);
   LONGS_EQUAL(0, Answers.Answers.size());
   Coordinator.submit(request(1, "k"), 2, Now);
   STRCMP_EQUAL("b", Sink.Dispatches.back().first.c_str());
-  // It is heard again.
+  // A message from the agent arrives again.
   peer::Message Load;
-  Load.mutable_worker_load()->set_incarnation(AgentLife);
+  Load.mutable_worker_load()->set_incarnation(AgentIncarnation);
   Load.mutable_worker_load()->set_stamp(++Stamp);
   Coordinator.onMessage({"a", "10.0.0.1:1"}, Load, Now);
   Coordinator.submit(request(2, "l"), 3, Now);
@@ -188,40 +191,41 @@
 TEST(CoordinatorAgentsTest, AnotherConnectionIsTriedBeforeAnAgentIsLost) {
   addAgent("a");
   Coordinator.submit(request(1), 1, Now);
-  pass(400ms);
+  advance(400ms);
   LONGS_EQUAL(0, Sink.Reconnects["a"]);
-  pass(200ms);
+  advance(200ms);
   CHECK(Sink.Reconnects["a"] >= 1);
   LONGS_EQUAL(0, Answers.Answers.size());
 }
 
-// What its last life left unanswered says nothing of its present one.
-TEST(CoordinatorAgentsTest, ARestartedAgentIsNotSilentForItsLastLife) {
+// Renewals left unanswered by the previous incarnation must not count against
+// the current one.
+TEST(CoordinatorAgentsTest, ARestartedAgentIsNotLostForItsLastIncarnation) {
   addAgent("a");
   Coordinator.submit(request(1), 1, Now);
-  pass(300ms);
-  loseDispatch(0);
-  pass(20ms);
-  loseDispatch(0);
+  advance(300ms);
+  failDispatchDelivery(0);
+  advance(20ms);
+  failDispatchDelivery(0);
   CHECK(onlyAnswer().End == LeasedEnd::Unknown);
-  // Back before it was asked again whether it is there.
+  // The agent is back before it was probed again.
   Now.Steady += 450ms;
   peer::Member Member;
   Member.set_name("a");
   Member.set_role(peer::ROLE_AGENT);
   Member.set_state(peer::MEMBER_ALIVE);
-  Member.set_incarnation(AgentLife + 1);
+  Member.set_incarnation(AgentIncarnation + 1);
   Member.set_address("10.0.0.1:1");
   Member.set_pool("pool");
   Member.mutable_room()->set_cpu_milli(4000);
   Coordinator.onMember(Member, Now);
-  hear("a", AgentLife + 1);
+  reportLoad("a", AgentIncarnation + 1);
   Coordinator.submit(request(1, "k"), 2, Now);
-  pass(100ms);
+  advance(100ms);
   LONGS_EQUAL(1, Answers.Answers.size());
 }
 
-TEST(CoordinatorAgentsTest, WhatARestartedAgentRefusesIsSentAgain) {
+TEST(CoordinatorAgentsTest, TasksThatARestartedAgentRefusesAreSentAgain) {
   addAgent("a");
   Coordinator.submit(request(3), 1, Now);
   peer::Message Message;
@@ -234,30 +238,33 @@
         Sink.Dispatches[0].second.tasks(static_cast<int>(I)).order());
     Update->set_event(peer::LEASED_NOT_STARTED);
     Update->set_refusal(peer::REFUSAL_STALE);
-    Update->mutable_load()->set_incarnation(AgentLife + 1);
+    Update->mutable_load()->set_incarnation(AgentIncarnation + 1);
     Update->mutable_load()->set_stamp(5);
     Coordinator.onMessage({"a", "10.0.0.1:1"}, Message, Now);
   }
-  pass(100ms);
+  advance(100ms);
   LONGS_EQUAL(0, Answers.Answers.size());
   LONGS_EQUAL(2, Sink.Dispatches.size());
   LONGS_EQUAL(3, Sink.Dispatches[1].second.tasks_size());
-  LONGS_EQUAL(AgentLife + 1, Sink.Dispatches[1].second.agent_incarnation());
+  LONGS_EQUAL(AgentIncarnation + 1,
+              Sink.Dispatches[1].second.agent_incarnation());
 }
 
-// What an earlier life had is given up a little later than the new one is heard
-// of; the new one's own tasks must stay counted, or their lease is not renewed.
+// The tasks of an earlier incarnation are given up some time after the new one
+// is known. The tasks of the new one must stay counted, or their lease is not
+// renewed.
 TEST(CoordinatorAgentsTest,
-     TasksOfAnAgentsNewLifeStayCountedWhenOldOnesAreLost) {
+     TasksOfANewIncarnationStayCountedWhenOldOnesAreLost) {
   struct Row {
     const char *Name;
     bool ByControl;
   };
-  const Row Rows[] = {{"told by the agent", false}, {"told by control", true}};
-  std::uint64_t Newest = AgentLife;
+  const Row Rows[] = {{"reported by the agent", false},
+                      {"reported by control", true}};
+  std::uint64_t Newest = AgentIncarnation;
   for (const Row &Row : Rows) {
     addAgent("a");
-    hear("a", Newest);
+    reportLoad("a", Newest);
     Coordinator.submit(request(2, "old"), 1, Now);
     ++Newest;
     if (Row.ByControl) {
@@ -272,26 +279,26 @@
       Member.mutable_room()->set_memory_mb(1000);
       Coordinator.onMember(Member, Now);
     }
-    hear("a", Newest);
+    reportLoad("a", Newest);
     Coordinator.submit(request(1, "new"), 2, Now);
-    pass(100ms);
-    LONGS_EQUAL_TEXT(1, Coordinator.board().workers().at("a").OwnTasks,
+    advance(100ms);
+    LONGS_EQUAL_TEXT(1, Coordinator.workerTable().workers().at("a").OwnTasks,
                      Row.Name);
-    LONGS_EQUAL_TEXT(1000, Coordinator.board().workers().at("a").OwnCpu,
+    LONGS_EQUAL_TEXT(1000, Coordinator.workerTable().workers().at("a").OwnCpu,
                      Row.Name);
     answer(Sink.Dispatches.size() - 1, peer::LEASED_DONE);
-    LONGS_EQUAL_TEXT(0, Coordinator.board().workers().at("a").OwnTasks,
+    LONGS_EQUAL_TEXT(0, Coordinator.workerTable().workers().at("a").OwnTasks,
                      Row.Name);
   }
 }
 
-// Its present life refuses the second copy of a dispatch. The first may have
-// reached the life before, which may have begun the task.
-TEST(CoordinatorAgentsTest, ARestartedAgentsRefusalOfASecondCopyProvesNothing) {
+// The current incarnation refuses the second copy of a dispatch. The first copy
+// may have reached the previous one, which may have started the task.
+TEST(CoordinatorAgentsTest, ARestartedAgentsRefusalOfAResendProvesNothing) {
   addAgent("a");
   Now.Steady += 20ms;
   Coordinator.submit(request(1), 1, Now);
-  loseDispatch(0);
+  failDispatchDelivery(0);
   LONGS_EQUAL(2, Sink.Dispatches.size());
   peer::Message Message;
   peer::LeasedUpdate *Update = Message.mutable_leased_update();
@@ -300,23 +307,23 @@
   Update->set_order(Sink.Dispatches[0].second.tasks(0).order());
   Update->set_event(peer::LEASED_NOT_STARTED);
   Update->set_refusal(peer::REFUSAL_STALE);
-  Update->mutable_load()->set_incarnation(AgentLife + 1);
+  Update->mutable_load()->set_incarnation(AgentIncarnation + 1);
   Update->mutable_load()->set_stamp(5);
   Coordinator.onMessage({"a", "10.0.0.1:1"}, Message, Now);
-  pass(100ms);
+  advance(100ms);
   LONGS_EQUAL(2, Sink.Dispatches.size());
   CHECK(onlyAnswer().End == LeasedEnd::Unknown);
 }
 
-TEST(CoordinatorAgentsTest, LeasesAreRenewedOnlyOftenWhileTasksRun) {
+TEST(CoordinatorAgentsTest, LeasesAreRenewedOftenOnlyWhileTasksRun) {
   addAgent("a");
-  pass(1000ms);
+  advance(1000ms);
   int Idle = Sink.Renewals["a"];
   Coordinator.submit(request(1), 1, Now);
   for (int I = 0; I < 5; ++I) {
-    pass(200ms);
+    advance(200ms);
     peer::Message Load;
-    Load.mutable_worker_load()->set_incarnation(AgentLife);
+    Load.mutable_worker_load()->set_incarnation(AgentIncarnation);
     Load.mutable_worker_load()->set_stamp(++Stamp);
     Coordinator.onMessage({"a", "10.0.0.1:1"}, Load, Now);
   }
@@ -325,25 +332,25 @@
   LONGS_EQUAL(0, Answers.Answers.size());
 }
 
-// At 70 agents these would be most of an entry's messages.
-TEST(CoordinatorAgentsTest,
-     ADispatchRenewsTheLeaseAndNewsOfAnAgentSpareAQuestion) {
+// With 70 agents, separate renewals and probes would be most of an entry's
+// messages.
+TEST(CoordinatorAgentsTest, ADispatchRenewsTheLeaseAndMessagesReplaceProbes) {
   addAgent("a");
-  pass(100ms);
+  advance(100ms);
   int Before = Sink.Renewals["a"];
   for (int I = 0; I < 20; ++I) {
     Coordinator.submit(request(1, ("j" + std::to_string(I)).c_str()), 1, Now);
-    pass(100ms);
+    advance(100ms);
     answer(Sink.Dispatches.size() - 1, peer::LEASED_DONE);
-    pass(100ms);
+    advance(100ms);
   }
   LONGS_EQUAL(Before, Sink.Renewals["a"]);
   LONGS_EQUAL(20, Answers.Answers.size());
 }
 
-// Of tasks that seem to run for long the end may have been missed.
+// The end of a task that seems to run for long may have been missed.
 TEST(CoordinatorAgentsTest,
-     AnAgentWithAnOldTaskIsAskedWhatItHoldsBetweenDispatches) {
+     AnAgentWithALongTaskListsItsOrdersBetweenDispatches) {
   addAgent("a");
   LeasedJobRequest Long = request(1, "long");
   Long.Estimate = 5s;
@@ -352,18 +359,19 @@
   int Before = Sink.Renewals["a"];
   for (int I = 0; I < 20; ++I) {
     Coordinator.submit(request(1, ("j" + std::to_string(I)).c_str()), 1, Now);
-    pass(100ms);
+    advance(100ms);
     answer(Sink.Dispatches.size() - 1, peer::LEASED_DONE);
   }
   CHECK(Sink.Renewals["a"] - Before >= 2);
 }
 
-// The clocks of two hosts run on while nothing is said.
-TEST(CoordinatorAgentsTest, AStampIsCarriedOnByAtMostTheTimeThatHasPassed) {
+// The clocks of both hosts advance between messages. The extrapolated stamp
+// must not run ahead of the agent's clock.
+TEST(CoordinatorAgentsTest, AStampIsExtrapolatedByAtMostTheElapsedTime) {
   struct Row {
     std::chrono::milliseconds Passed;
-    std::uint64_t Least;
-    std::uint64_t Most;
+    std::uint64_t Min;
+    std::uint64_t Max;
   };
   const Row Rows[] = {{0ms, 1000, 1000},
                       {100ms, 1097, 1100},
@@ -375,21 +383,21 @@
     Worker.Stamp = 1000;
     Worker.StampHeard = Now.Steady;
     std::uint64_t Carried = Worker.stampAt(Now.Steady + Row.Passed);
-    CHECK(Carried >= Row.Least);
-    CHECK(Carried <= Row.Most);
+    CHECK(Carried >= Row.Min);
+    CHECK(Carried <= Row.Max);
   }
 }
 
-// It lets its runs end, which takes longer than a lease lasts.
-TEST(CoordinatorAgentsTest, LeasesAtALeavingAgentAreRenewedWhileTasksRunThere) {
+// A leaving agent finishes its runs, which takes longer than a lease lasts.
+TEST(CoordinatorAgentsTest, LeasesAtALeavingAgentAreRenewedWhileTasksRun) {
   addAgent("a");
   Coordinator.submit(request(1), 1, Now);
   setState("a", peer::MEMBER_LEAVING);
   int Before = Sink.Renewals["a"];
   for (int I = 0; I < 4; ++I) {
-    pass(200ms);
+    advance(200ms);
     peer::Message Load;
-    Load.mutable_worker_load()->set_incarnation(AgentLife);
+    Load.mutable_worker_load()->set_incarnation(AgentIncarnation);
     Load.mutable_worker_load()->set_stamp(++Stamp);
     Load.mutable_worker_load()->set_leaving(true);
     Coordinator.onMessage({"a", "10.0.0.1:1"}, Load, Now);
@@ -398,25 +406,25 @@
   answer(0, peer::LEASED_DONE);
   CHECK(onlyAnswer().End == LeasedEnd::Completed);
   int After = Sink.Renewals["a"];
-  pass(2000ms);
+  advance(2000ms);
   LONGS_EQUAL(After, Sink.Renewals["a"]);
 }
 
-// The balancer then sends callers to an entry that has some.
-TEST(CoordinatorAgentsTest, AnEntryWithoutReachableWorkersSaysSo) {
+// The load balancer then sends callers to an entry that reaches workers.
+TEST(CoordinatorAgentsTest, AnEntryWithoutReachableWorkersReportsIt) {
   CHECK_FALSE(Coordinator.hasWorkers());
   addAgent("a");
   CHECK(Coordinator.hasWorkers());
   Now.Steady += 300ms;
   peer::Message Renewal;
   Renewal.mutable_lease_renewal();
-  loseMessage("a", Renewal);
+  failDelivery("a", Renewal);
   CHECK(Coordinator.hasWorkers());
   Now.Steady += 300ms;
-  loseMessage("a", Renewal);
+  failDelivery("a", Renewal);
   CHECK_FALSE(Coordinator.hasWorkers());
   peer::Message Load;
-  Load.mutable_worker_load()->set_incarnation(AgentLife);
+  Load.mutable_worker_load()->set_incarnation(AgentIncarnation);
   Coordinator.onMessage({"a", "10.0.0.1:1"}, Load, Now);
   CHECK(Coordinator.hasWorkers());
   setState("a", peer::MEMBER_LEAVING);
--- a/tests/entry/coordinator_lists_test.cpp
+++ b/tests/entry/coordinator_lists_test.cpp
@@ -1,29 +1,29 @@
-//===- What agents list as held for an entry, and what follows from it ----===//
+//===- Lists of held orders that agents send to an entry ------------------===//
 
-#include "tests/entry/coordinator_bench.h"
+#include "tests/entry/coordinator_fixture.h"
 
 #include <functional>
 
-// Last: it redefines new.
+// Must be included last: it redefines new.
 #include <CppUTest/TestHarness.h>
 
 using namespace yardwheel;
 using namespace std::chrono_literals;
 
-TEST_GROUP_BASE(CoordinatorListsTest, CoordinatorBench){};
+TEST_GROUP_BASE(CoordinatorListsTest, CoordinatorFixture){};
 
-// An entry that stood still misses the ends that were told meanwhile. What it
-// believes to be running must not keep it from taking jobs for ever.
-TEST(CoordinatorListsTest, TasksThatTheirAgentNoLongerListsHaveEnded) {
+// An entry that was stalled misses the updates sent meanwhile. Tasks that it
+// wrongly counts as running must not keep it from accepting jobs for ever.
+TEST(CoordinatorListsTest, TasksNoLongerListedByTheirAgentHaveEnded) {
   struct Row {
     const char *Name;
     bool Listed;
     std::chrono::milliseconds After;
     std::size_t Dispatches;
   };
-  const Row Rows[] = {{"it lists it", true, 3000ms, 1},
-                      {"on its way", false, 800ms, 1},
-                      {"its update may come", false, 1200ms, 1},
+  const Row Rows[] = {{"listed", true, 3000ms, 1},
+                      {"in transit", false, 800ms, 1},
+                      {"the update may still arrive", false, 1200ms, 1},
                       {"lost", false, 2000ms, 2}};
   addAgent("a", 2000);
   addAgent("b", 500);
@@ -33,16 +33,16 @@
     Long.Deadline = 60s;
     Coordinator.submit(Long, 1, Now);
     for (auto Passed = 0ms; Passed < Row.After; Passed += 200ms) {
-      pass(200ms);
+      advance(200ms);
       peer::Message Message;
       peer::WorkerLoad *Load = Message.mutable_worker_load();
-      Load->set_incarnation(AgentLife);
+      Load->set_incarnation(AgentIncarnation);
       Load->set_stamp(++Stamp);
       Load->set_lists_held(true);
       if (Row.Listed)
         Load->add_held_orders(Sink.Dispatches[0].second.tasks(0).order());
       Coordinator.onMessage({"a", "10.0.0.1:1"}, Message, Now);
-      // What another agent lists says nothing of this one.
+      // The list of another agent must not matter for this one.
       Load->clear_held_orders();
       Coordinator.onMessage({"b", "10.0.0.1:1"}, Message, Now);
     }
@@ -50,20 +50,20 @@
     answer(Sink.Dispatches.size() - 1, peer::LEASED_DONE);
     CHECK_TEXT(Answers.Answers.back().second.End == LeasedEnd::Completed,
                Row.Name);
-    LONGS_EQUAL_TEXT(0, Coordinator.board().workers().at("a").OwnTasks,
+    LONGS_EQUAL_TEXT(0, Coordinator.workerTable().workers().at("a").OwnTasks,
                      Row.Name);
   }
 }
 
-// Its second copy carries a stamp of its own, and may start the task for as
-// long after it was sent as the first one.
-TEST(CoordinatorListsTest, ADispatchThatWasSentAgainMayBeOnItsWayAgain) {
+// The second copy carries a stamp of its own, and may start the task for as
+// long after it was sent as the first copy.
+TEST(CoordinatorListsTest, AResentDispatchMayBeInTransitAgain) {
   struct Row {
     const char *Name;
     bool Repeated;
     std::size_t Placed;
   };
-  const Row Rows[] = {{"sent once", false, 2}, {"sent again", true, 1}};
+  const Row Rows[] = {{"sent once", false, 2}, {"resent", true, 1}};
   addAgent("a");
   for (const Row &Row : Rows) {
     LeasedJobRequest Long = request(1, Row.Name);
@@ -71,12 +71,12 @@
     Coordinator.submit(Long, 1, Now);
     std::size_t First = Sink.Dispatches.size() - 1;
     for (auto Passed = 0ms; Passed < 1800ms; Passed += 200ms) {
-      pass(200ms);
+      advance(200ms);
       if (Row.Repeated && Passed == 1200ms)
-        loseDispatch(First);
-      list("a", {});
+        failDispatchDelivery(First);
+      listHeldOrders("a", {});
     }
-    Coordinator.placeDue(Now);
+    Coordinator.placeScheduled(Now);
     std::set<std::uint64_t> Orders;
     for (std::size_t I = First; I < Sink.Dispatches.size(); ++I)
       Orders.insert(Sink.Dispatches[I].second.tasks(0).order());
@@ -85,9 +85,9 @@
   }
 }
 
-// A caller who was told that his job's end is unknown may have it run elsewhere
+// A caller that was answered "unknown" may have resubmitted the job elsewhere
 // by then.
-TEST(CoordinatorListsTest, WhatAnAgentHoldsForNoJobHereIsStopped) {
+TEST(CoordinatorListsTest, OrdersHeldForNoRunningJobAreStopped) {
   struct Row {
     const char *Name;
     std::function<std::uint64_t()> Hold;
@@ -99,24 +99,24 @@
   };
   const Row Rows[] = {
       {"wanted", Place, 0},
-      {"given up when its agent fell silent",
+      {"given up when its agent was lost",
        [&] {
          std::uint64_t Order = Place();
-         pass(1000ms);
+         advance(1000ms);
          LONGS_EQUAL(1, Answers.Answers.size());
          return Order;
        },
        1},
-      {"given up, and the job has a newer placement there",
+      {"given up, with a newer placement of the job there",
        [&] {
          std::uint64_t Order = Place();
-         pass(1000ms);
-         hear("a");
+         advance(1000ms);
+         reportLoad("a");
          Place();
          return Order;
        },
        1},
-      {"its stop was lost",
+      {"the stop was lost",
        [&] {
          std::uint64_t Order = Place();
          Coordinator.cancel("j", "test", Now);
@@ -129,17 +129,18 @@
     addAgent("a");
     std::uint64_t Order = Row.Hold();
     Sink.Stops.clear();
-    list("a", {Order});
+    listHeldOrders("a", {Order});
     LONGS_EQUAL_TEXT(Row.Stops, Sink.Stops.size(), Row.Name);
-    // A newer placement of the same job goes on.
+    // A newer placement of the same job is not stopped.
     if (Row.Stops > 0)
-      CHECK_TEXT(Sink.Stopped == std::set<std::uint64_t>{Order}, Row.Name);
-    // Its runs end before the next row.
+      CHECK_TEXT(Sink.StoppedOrders == std::set<std::uint64_t>{Order},
+                 Row.Name);
+    // The runs end before the next row.
     Coordinator.cancel("j", "test", Now);
-    pass(2000ms);
-    list("a", {});
-    pass(600ms);
-    list("a", {});
+    advance(2000ms);
+    listHeldOrders("a", {});
+    advance(600ms);
+    listHeldOrders("a", {});
     LONGS_EQUAL_TEXT(0, Coordinator.inFlight(), Row.Name);
   }
 }
--- a/tests/entry/lease_coordinator_test.cpp
+++ b/tests/entry/lease_coordinator_test.cpp
@@ -1,11 +1,11 @@
-//===- Jobs that a coordinator takes, answers and gives up --------------===//
+//===- Jobs that a coordinator accepts, answers and gives up --------------===//
 
-#include "tests/entry/coordinator_bench.h"
+#include "tests/entry/coordinator_fixture.h"
 
 using namespace yardwheel;
 using namespace std::chrono_literals;
 
-TEST_GROUP_BASE(LeaseCoordinatorTest, CoordinatorBench){};
+TEST_GROUP_BASE(LeaseCoordinatorTest, CoordinatorFixture){};
 
 TEST(LeaseCoordinatorTest, AJobIsCompleteWhenEveryTaskIsDone) {
   addAgent("a");
@@ -19,7 +19,7 @@
   LONGS_EQUAL(0, Coordinator.inFlight());
 }
 
-TEST(LeaseCoordinatorTest, AStaleRefusalIsAnsweredWithTheNewStampThere) {
+TEST(LeaseCoordinatorTest, AStaleRefusalIsRetriedThereWithTheNewStamp) {
   addAgent("a");
   Coordinator.submit(request(1), 1, Now);
   answer(0, peer::LEASED_NOT_STARTED, peer::REFUSAL_STALE);
@@ -34,7 +34,7 @@
   CHECK(onlyAnswer().RetryAfter > 0ms);
 }
 
-TEST(LeaseCoordinatorTest, NotRunIsSaidOnlyWhereEveryTaskIsProvedUnstarted) {
+TEST(LeaseCoordinatorTest, NotRunIsAnsweredOnlyIfEveryTaskIsProvenUnstarted) {
   struct Row {
     peer::LeasedEvent First;
     LeasedEnd Expected;
@@ -57,9 +57,9 @@
   }
 }
 
-// The task has not started for this entry, but one of its job is there for
-// another, to which the caller handed it in before.
-TEST(LeaseCoordinatorTest, AJobThatRunsForAnotherEntryIsNotSaidNotToHaveRun) {
+// The task has not started for this entry, but the agent runs a task of the
+// same job for another entry, to which the caller submitted it before.
+TEST(LeaseCoordinatorTest, AJobThatRunsForAnotherEntryIsNotAnsweredAsNotRun) {
   struct Row {
     peer::LeasedRefusal Refusal;
     LeasedEnd Expected;
@@ -81,21 +81,22 @@
   Coordinator.cancel("j", "test", Now);
   LONGS_EQUAL(1, Sink.Stops.size());
   LONGS_EQUAL(0, Answers.Answers.size());
-  pass(60ms);
+  advance(60ms);
   CHECK(onlyAnswer().End == LeasedEnd::Unknown);
 }
 
-// Until its runs are proved ended, the same job may not begin again here, and
-// nobody may be told that it has not run.
-TEST(LeaseCoordinatorTest, AJobHandedInWhileItIsStoppedBeginsWhenThatHasEnded) {
+// Until its runs are proven to have ended, the job must not start again here,
+// and no caller may be told that it has not run.
+TEST(LeaseCoordinatorTest,
+     AJobResubmittedWhileItIsStoppedStartsOnceItHasEnded) {
   addAgent("a");
   Coordinator.submit(request(1), 1, Now);
   Coordinator.cancel("j", "test", Now);
-  pass(60ms);
+  advance(60ms);
   LONGS_EQUAL(1, Answers.Answers.size());
   Coordinator.submit(request(1), 2, Now);
   Coordinator.submit(request(1), 3, Now);
-  pass(60ms);
+  advance(60ms);
   LONGS_EQUAL(1, Sink.Dispatches.size());
   LONGS_EQUAL(1, Answers.Answers.size());
   answer(0, peer::LEASED_ENDED_EARLY);
@@ -106,26 +107,27 @@
   LONGS_EQUAL(0, Coordinator.inFlight());
 }
 
-TEST(LeaseCoordinatorTest, ACallerWhoLeavesTakesNothingFromOthers) {
+TEST(LeaseCoordinatorTest, ACallerThatDisconnectsDoesNotAffectOthers) {
   struct Row {
     const char *Name;
     LeaseTicket Leaves;
     LeasedEnd Second;
     LeasedEnd Third;
   };
-  // The first has been answered; the others wait for the job to begin again.
+  // The first caller has been answered; the others wait for the job to start
+  // again.
   const Row Rows[] = {
-      {"the first", 1, LeasedEnd::Completed, LeasedEnd::Completed},
-      {"the second", 2, LeasedEnd::Unknown, LeasedEnd::Completed},
-      {"the third", 3, LeasedEnd::Completed, LeasedEnd::Unknown},
-      {"a stranger", 4, LeasedEnd::Completed, LeasedEnd::Completed},
+      {"first caller", 1, LeasedEnd::Completed, LeasedEnd::Completed},
+      {"second caller", 2, LeasedEnd::Unknown, LeasedEnd::Completed},
+      {"third caller", 3, LeasedEnd::Completed, LeasedEnd::Unknown},
+      {"unknown caller", 4, LeasedEnd::Completed, LeasedEnd::Completed},
   };
   for (const Row &Row : Rows) {
     addAgent("a");
     Answers.Answers.clear();
     Coordinator.submit(request(1), 1, Now);
     Coordinator.cancel("j", "test", Now);
-    pass(60ms);
+    advance(60ms);
     Coordinator.submit(request(1), 2, Now);
     Coordinator.submit(request(1), 3, Now);
     Coordinator.withdraw("j", Row.Leaves, "test", Now);
@@ -141,12 +143,13 @@
   }
 }
 
-TEST(LeaseCoordinatorTest, WhoWaitsForAStoppedJobIsToldTheTruthInTime) {
+TEST(LeaseCoordinatorTest, CallersOfAStoppedJobAreAnsweredUnknownInTime) {
   struct Row {
     const char *Name;
     bool CallerLeaves;
   };
-  const Row Rows[] = {{"its deadline passes", false}, {"it leaves", true}};
+  const Row Rows[] = {{"the deadline passes", false},
+                      {"the caller disconnects", true}};
   for (const Row &Row : Rows) {
     Answers.Answers.clear();
     addAgent("a");
@@ -159,30 +162,29 @@
     if (Row.CallerLeaves)
       Coordinator.cancel(Id, "test", Now);
     else
-      pass(240ms);
-    // One of its runs may have begun.
+      advance(240ms);
+    // One of its runs may have started.
     CHECK_TEXT(Answers.Answers.back().first == 2 ||
                    Answers.Answers.front().first == 2,
                Row.Name);
     for (const auto &[Ticket, Answer] : Answers.Answers)
       CHECK_TEXT(Answer.End == LeasedEnd::Unknown, Row.Name);
     answer(Sink.Dispatches.size() - 1, peer::LEASED_ENDED_EARLY);
-    pass(60ms);
+    advance(60ms);
     LONGS_EQUAL_TEXT(0, Coordinator.inFlight(), Row.Name);
   }
 }
 
-// "Not run" is said of the job, not of a hand-in: its caller hands it in again
-// since nobody could tell him how the first one ended.
-TEST(LeaseCoordinatorTest,
-     AJobThatRanHereIsNotSaidNotToHaveRunWhenItComesAgain) {
+// The answer "not run" is about the job, not about one submission: the caller
+// resubmits the job because the outcome of the first submission is unknown.
+TEST(LeaseCoordinatorTest, AResubmittedJobThatRanHereIsNotAnsweredAsNotRun) {
   struct Row {
     const char *Name;
-    /// How the first hand-in's only task is answered.
+    /// Update for the only task of the first submission.
     peer::LeasedEvent First;
-    /// What has the second refused.
+    /// Makes the coordinator refuse the second submission.
     std::function<void()> Refuse;
-    /// Handed in while the first is still being stopped.
+    /// Whether the job is resubmitted while the first run is being stopped.
     bool Early;
     LeasedEnd Expected;
   };
@@ -195,11 +197,11 @@
   const Row Rows[] = {
       {"ran, no worker now", peer::LEASED_ENDED_EARLY, NoRoom, false,
        LeasedEnd::Unknown},
-      {"ran, waits for its end", peer::LEASED_ENDED_EARLY, NoRoom, true,
-       LeasedEnd::Unknown},
+      {"ran, waits for the end of that run", peer::LEASED_ENDED_EARLY, NoRoom,
+       true, LeasedEnd::Unknown},
       {"ran, overload now", peer::LEASED_ENDED_EARLY, Overload, false,
        LeasedEnd::Unknown},
-      {"never began, no worker now", peer::LEASED_NOT_STARTED, NoRoom, false,
+      {"never started, no worker now", peer::LEASED_NOT_STARTED, NoRoom, false,
        LeasedEnd::NotRun},
   };
   for (const Row &Row : Rows) {
@@ -208,13 +210,13 @@
     std::size_t First = Sink.Dispatches.size() - 1;
     Coordinator.cancel(Row.Name, "test", Now);
     if (Row.Early) {
-      pass(60ms);
+      advance(60ms);
       Coordinator.submit(request(1, Row.Name), 2, Now);
       Row.Refuse();
       answer(First, Row.First, peer::REFUSAL_STOPPED);
     } else {
       answer(First, Row.First, peer::REFUSAL_STOPPED);
-      pass(1000ms);
+      advance(1000ms);
       Row.Refuse();
       Coordinator.submit(request(1, Row.Name), 2, Now);
     }
@@ -223,7 +225,7 @@
   }
 }
 
-TEST(LeaseCoordinatorTest, AFailedTaskIsRunElsewhereAsOftenAsItMay) {
+TEST(LeaseCoordinatorTest, AFailedTaskIsRetriedElsewhereUpToItsLimit) {
   addAgent("a");
   addAgent("b");
   Coordinator.submit(request(1), 1, Now);
@@ -235,7 +237,7 @@
   LONGS_EQUAL(2, Sink.Dispatches.size());
 }
 
-TEST(LeaseCoordinatorTest, ASecondHandInOfARunningJobGetsTheSameAnswer) {
+TEST(LeaseCoordinatorTest, AResubmissionOfARunningJobGetsTheSameAnswer) {
   addAgent("a");
   Coordinator.submit(request(1), 1, Now);
   Coordinator.submit(request(1), 2, Now);
@@ -250,15 +252,15 @@
     bool Again;
     std::size_t AnsweredInBetween;
   };
-  const Row Rows[] = {{"handed in once", false, 1},
-                      {"handed in again", true, 0}};
+  const Row Rows[] = {{"submitted once", false, 1},
+                      {"submitted again", true, 0}};
   for (const Row &Row : Rows) {
     Answers.Answers.clear();
     addAgent("a");
     Coordinator.submit(request(1, Row.Name), 1, Now);
     for (auto Passed = 0ms; Passed < 2000ms; Passed += 100ms) {
-      pass(100ms);
-      hear("a");
+      advance(100ms);
+      reportLoad("a");
       if (Row.Again && Passed == 1000ms)
         Coordinator.submit(request(1, Row.Name), 2, Now);
     }
--- a/tests/entry/long_job.h
+++ b/tests/entry/long_job.h
@@ -1,8 +1,8 @@
 //===- tests/entry/long_job.h - A job that outlasts its entry ---*- C++ -*-===//
 ///
 /// \file
-/// A job whose task runs for longer than its caller waits before it hands the
-/// job in again.
+/// A job whose task runs for longer than a caller waits before it resubmits the
+/// job.
 ///
 //===----------------------------------------------------------------------===//
 #ifndef YARDWHEEL_TESTS_ENTRY_LONG_JOB_H
@@ -14,19 +14,19 @@
 
 namespace yardwheel {
 
-/// After an answer or a broken connection, until a caller hands its job in
-/// again.
+/// Delay after an answer or a broken connection before a caller resubmits its
+/// job.
 inline constexpr std::chrono::milliseconds ResubmitAfter{1300};
-inline constexpr std::chrono::milliseconds LongTask{5000};
+inline constexpr std::chrono::milliseconds LongTaskDuration{5000};
 
 inline LeasedJobRequest longJob() {
   LeasedJobRequest Job;
   Job.Id = "j";
   Job.Route = "long";
   Job.Needs.set_cpu_milli(1000);
-  Job.Estimate = LongTask;
-  Job.Objective = 2 * LongTask;
-  Job.Deadline = 3 * LongTask;
+  Job.Estimate = LongTaskDuration;
+  Job.Objective = 2 * LongTaskDuration;
+  Job.Deadline = 3 * LongTaskDuration;
   Job.MaxAttempts = 2;
   return Job;
 }
