--- a/entry/lease_coordinator.h
+++ b/entry/lease_coordinator.h
@@ -15,11 +15,11 @@
 #include "core/peer_sink.h"
 #include "dispatch/waiting_rule.h"
 #include "entry/crash_record.h"
-#include "entry/lease_board.h"
 #include "entry/lease_metrics.h"
 #include "entry/leased_job.h"
 #include "entry/load_shedder.h"
 #include "entry/recent_ids.h"
+#include "entry/worker_table.h"
 
 #include <map>
 #include <memory>
--- a/entry/lease_board.cpp
+++ b/entry/worker_table.cpp
@@ -1,4 +1,4 @@
-#include "entry/lease_board.h"
+#include "entry/worker_table.h"
 
 #include "protocol/task_needs.h"
 
--- a/entry/lease_board.h
+++ b/entry/worker_table.h
@@ -1,4 +1,4 @@
-//===- entry/lease_board.h - An entry's view of leased workers --*- C++ -*-===//
+//===- entry/worker_table.h - An entry's view of leased workers -*- C++ -*-===//
 ///
 /// \file
 /// What one entry knows of the agents that run leased tasks: their workers'
@@ -6,8 +6,8 @@
 /// hold, and how the worker has fared lately. It picks the agent for a task.
 ///
 //===----------------------------------------------------------------------===//
-#ifndef YARDWHEEL_ENTRY_LEASE_BOARD_H
-#define YARDWHEEL_ENTRY_LEASE_BOARD_H
+#ifndef YARDWHEEL_ENTRY_WORKER_TABLE_H
+#define YARDWHEEL_ENTRY_WORKER_TABLE_H
 
 #include "core/clock.h"
 #include "core/logger.h"
--- a/tests/agent/worker_room_test.cpp
+++ b/tests/agent/worker_room_test.cpp
@@ -7,7 +7,7 @@
 //
 //===----------------------------------------------------------------------===//
 
-#include "entry/lease_board.h"
+#include "entry/worker_table.h"
 #include "tests/agent/keeper_fixture.h"
 
 #include <fmt/format.h>
--- a/tests/entry/lease_board_test.cpp
+++ b/tests/entry/worker_table_test.cpp
@@ -9,7 +9,7 @@
 //
 //===----------------------------------------------------------------------===//
 
-#include "entry/lease_board.h"
+#include "entry/worker_table.h"
 
 #include <cstdint>
 #include <fmt/format.h>
