--- a/bench/overload_main.cpp
+++ b/bench/overload_main.cpp
@@ -37,7 +37,9 @@
     {"no offers",
      [](MixedLoadOptions &O) { O.World.Coordinator.Waiting.Enabled = false; }},
     {"no forecasts",
-     [](MixedLoadOptions &O) { O.World.Coordinator.Board.Forecasts = false; }},
+     [](MixedLoadOptions &O) {
+       O.World.Coordinator.Workers.UseForecasts = false;
+     }},
     {"offers in any pool",
      [](MixedLoadOptions &O) {
        O.World.Coordinator.Waiting.MaxWorkers = SIZE_MAX;
@@ -46,7 +48,7 @@
      [](MixedLoadOptions &O) { O.World.Coordinator.MaxBounces = 2; }},
     {"spread placement",
      [](MixedLoadOptions &O) {
-       O.World.Coordinator.Board.Placement = "spread";
+       O.World.Coordinator.Workers.Placement = "spread";
      }},
     {"no refusal by busy agents",
      [](MixedLoadOptions &O) { O.World.Coordinator.MaxBounces = 0; }},
--- a/dispatch/placement.h
+++ b/dispatch/placement.h
@@ -39,7 +39,7 @@
   /// Of each task, in thousandths of a core.
   std::uint32_t CpuMilli = 0;
   /// Places only what would start at once, as far as is known.
-  bool OnlyStarting = false;
+  bool OnlyStartingNow = false;
 };
 
 /// Tasks for one worker.
--- a/dispatch/share_counter.cpp
+++ b/dispatch/share_counter.cpp
@@ -77,7 +77,7 @@
   double Least = std::numeric_limits<double>::infinity();
   for (std::size_t I = 0; I < this->Targets.size(); ++I) {
     bool Barred = this->Targets[I].MostTasks == 0 ||
-                  (this->Demand.OnlyStarting && this->startsAt(I) == 0);
+                  (this->Demand.OnlyStartingNow && this->startsAt(I) == 0);
     if (Barred)
       continue;
     double Cost = this->costAt(I) + Jitter(this->Random);
--- a/entry/lease_coordinator.cpp
+++ b/entry/lease_coordinator.cpp
@@ -7,7 +7,7 @@
 LeaseCoordinator::LeaseCoordinator(const CoordinatorOptions &Options,
                                    PeerSink &Sink, LeasedAnswerSink &Answers)
     : Options(Options), Sink(Sink), Answers(Answers),
-      Board(Options.Board, Options.Seed), Shedder(Options.Shedder),
+      Workers(Options.Workers, Options.Seed), Shedder(Options.Shedder),
       Waits(Options.Waiting), Random(Options.Seed), Ran(Options.RunMemory),
       LastOrder(Options.FirstOrder) {}
 
@@ -31,19 +31,19 @@
   if (Member.role() != peer::ROLE_AGENT)
     return;
   bool Lost = Member.state() == peer::MEMBER_LOST;
-  const LeasedWorker *Known = this->Board.find(Member.name());
+  const LeasedWorker *Known = this->Workers.find(Member.name());
   bool Same = Known != nullptr && Known->Incarnation == Member.incarnation() &&
               Known->State == Member.state();
-  bool Replaced = this->Board.update(Member, Now.Steady);
+  bool Replaced = this->Workers.update(Member, Now.Steady);
   if (Same)
     return;
   this->Log.decision("member",
                      {{"agent", Member.name()},
                       {"incarnation", Member.incarnation()},
                       {"state", peer::MemberState_Name(Member.state())},
-                      {"used", this->Board.find(Member.name())->Alive},
+                      {"used", this->Workers.find(Member.name())->Alive},
                       {"table_version", Member.version()}});
-  bool Gone = Lost && !this->Board.find(Member.name())->Alive;
+  bool Gone = Lost && !this->Workers.find(Member.name())->Alive;
   if (Gone)
     this->loseTasks(Member.name(), /*OnlyEarlierLives=*/false,
                     "control lost it", Now);
@@ -71,7 +71,7 @@
   Contact &Line = this->Contacts[Agent];
   Line.AskedAt = TimePoint::max();
   Line.SentAt = TimePoint::max();
-  if (this->Board.hear(Agent, Load, Now.Steady))
+  if (this->Workers.onLoadReport(Agent, Load, Now.Steady))
     this->onRestarted(Agent, Now);
   this->onCrashes(Agent, Load, Now);
 }
@@ -142,7 +142,7 @@
   Target.MayHaveRun = true;
   Target.LongestDone = std::max(Target.LongestDone, Ran);
   ++Target.DoneCount;
-  this->Board.onSuccess(Agent, Ran);
+  this->Workers.onSuccess(Agent, Ran);
 }
 
 bool LeaseCoordinator::isProof(const Task &Which,
@@ -191,7 +191,7 @@
   }
   bool WorkerAtFault = Update.refusal() == peer::REFUSAL_WORKER ||
                        Update.refusal() == peer::REFUSAL_NO_WORKER;
-  if (WorkerAtFault && this->Board.onFailure(Agent, Now.Steady))
+  if (WorkerAtFault && this->Workers.onFailure(Agent, Now.Steady))
     ++this->Counters.Ejections;
   // Neither says anything against the agent, which has just sent a new stamp
   // and its present load.
@@ -235,7 +235,7 @@
       Which.Stalled || Update.refusal() == peer::REFUSAL_WORKER;
   if (WorkerAtFault) {
     Which.Avoid.insert(Agent);
-    if (this->Board.onFailure(Agent, Now.Steady))
+    if (this->Workers.onFailure(Agent, Now.Steady))
       ++this->Counters.Ejections;
   }
   this->Log.decision("task_ended_early", {{"job", Target.Request.Id},
@@ -254,7 +254,7 @@
                                    const peer::LeasedUpdate &Update,
                                    Instant Now) {
   ++Which.Failures;
-  bool Ejected = this->Board.onFailure(Agent, Now.Steady);
+  bool Ejected = this->Workers.onFailure(Agent, Now.Steady);
   if (Ejected)
     ++this->Counters.Ejections;
   this->settle(Target, Which, TaskPhase::Unplaced);
@@ -273,13 +273,13 @@
   }
   // Another worker, if there is one.
   Which.Avoid = {Agent};
-  if (!this->Board.hasChoice(Target.Request, Which.Avoid, Now.Steady))
+  if (!this->Workers.hasEligibleWorker(Target.Request, Which.Avoid, Now.Steady))
     Which.Avoid.clear();
   this->placeSoon(Target);
 }
 
 void LeaseCoordinator::settle(Job &Target, Task &Which, TaskPhase Next) {
-  this->Board.onSettled(Which.Agent, Target.Request.Needs);
+  this->Workers.onSettled(Which.Agent, Target.Request.Needs);
   this->Contacts[Which.Agent].Wanted.erase(Which.Order);
   --Target.OutCount;
   Which.Phase = Next;
@@ -307,7 +307,7 @@
     this->Contacts[Which.Agent].Wanted.erase(Which.Order);
   }
   for (const std::string &Agent : Agents)
-    this->sendStop(Target.Request.Id, *this->Board.find(Agent), {});
+    this->sendStop(Target.Request.Id, *this->Workers.find(Agent), {});
 }
 
 void LeaseCoordinator::sendStop(const std::string &Id,
--- a/entry/lease_coordinator.h
+++ b/entry/lease_coordinator.h
@@ -98,7 +98,7 @@
   /// What a caller is told when a job was refused for want of room: about the
   /// time in which a full worker has emptied.
   std::chrono::milliseconds RetryAfter{1000};
-  LeaseBoardOptions Board;
+  WorkerTableOptions Workers;
   ShedderOptions Shedder;
   WaitingOptions Waiting;
   CrashRecordOptions Crashes;
@@ -176,8 +176,8 @@
   /// Jobs whose callers wait.
   std::size_t inFlight() const { return this->Waiting; }
   /// Whether any worker can be reached; without one every job is refused.
-  bool hasWorkers() const { return this->Board.hasReachable(); }
-  const LeaseBoard &board() const { return this->Board; }
+  bool hasWorkers() const { return this->Workers.hasReachable(); }
+  const WorkerTable &workerTable() const { return this->Workers; }
   const CoordinatorCounters &counters() const { return this->Counters; }
   const LeaseMetrics &metrics() const { return this->Metrics; }
 
@@ -382,7 +382,7 @@
   Logger Log{"coordinator"};
   PeerSink &Sink;
   LeasedAnswerSink &Answers;
-  LeaseBoard Board;
+  WorkerTable Workers;
   LoadShedder Shedder;
   WaitingRule Waits;
   std::mt19937_64 Random;
--- a/entry/lease_coordinator_intake.cpp
+++ b/entry/lease_coordinator_intake.cpp
@@ -106,7 +106,7 @@
                       static_cast<double>(Request.Estimate.count()) / 1000;
   this->Shedder.onOffered(Request.Route, CoreMillis, Now.Steady);
   double Pressure =
-      this->Board.pressure(Request, this->awaitingCpu(), Now.Steady);
+      this->Workers.pressure(Request, this->awaitingCpu(), Now.Steady);
   this->Shedder.onPressure(Pressure, Now.Steady);
   double Limit = this->Shedder.limitFor(Request.Route, Now.Steady);
   if (Pressure < Limit)
--- a/entry/lease_coordinator_offers.cpp
+++ b/entry/lease_coordinator_offers.cpp
@@ -14,7 +14,7 @@
 
 std::uint64_t LeaseCoordinator::awaitingCpu() const {
   std::uint64_t CpuMilli = 0;
-  if (!this->Waits.usesOffers(this->Board.workers().size()))
+  if (!this->Waits.usesOffers(this->Workers.workers().size()))
     return CpuMilli;
   for (const auto &[Id, Known] : this->Jobs)
     if (Known->Phase == JobPhase::Running)
@@ -36,7 +36,7 @@
     Target.OffersUntil = Now.Steady + this->Waits.offersFor(Slack);
   if (New == 0)
     return;
-  for (const LeasedWorker *Worker : this->Board.draw(
+  for (const LeasedWorker *Worker : this->Workers.sampleWorkers(
            Target.Request, Avoid, this->Waits.workersToAsk(New), Now.Steady)) {
     peer::Message Message;
     peer::LeasedInterest *Interest = Message.mutable_leased_interest();
@@ -56,7 +56,7 @@
 
 void LeaseCoordinator::withdrawInterest(Job &Target) {
   for (const std::string &Agent : Target.Asked) {
-    const LeasedWorker *Worker = this->Board.find(Agent);
+    const LeasedWorker *Worker = this->Workers.find(Agent);
     peer::Message Message;
     peer::LeasedInterest *Interest = Message.mutable_leased_interest();
     Interest->set_job(Target.Request.Id);
@@ -69,7 +69,7 @@
 void LeaseCoordinator::onOffer(const PeerRef &From,
                                const peer::LeasedOffer &Offer, Instant Now) {
   Job *Target = this->find(Offer.job());
-  const LeasedWorker *Worker = this->Board.find(From.Node);
+  const LeasedWorker *Worker = this->Workers.find(From.Node);
   bool Wanted = Target != nullptr && Target->Phase == JobPhase::Running &&
                 Worker != nullptr && Worker->isReachable() &&
                 Worker->Incarnation == Offer.load().incarnation() &&
--- a/entry/lease_coordinator_placement.cpp
+++ b/entry/lease_coordinator_placement.cpp
@@ -73,12 +73,12 @@
         ++Placed[Other.Agent];
   bool Awaits = !Target.OffersOver && Target.Request.MaxPerWorker == 0 &&
                 this->Waits.waitsForOffers(slackOf(Target, Now),
-                                           this->Board.workers().size());
+                                           this->Workers.workers().size());
   // What is known here of the workers' room has been wrong for this job.
   bool Misled = Awaits && Target.Bounces >= this->Options.MaxBounces;
   auto Wanted = Misled ? 0U : static_cast<std::uint32_t>(Indexes.size());
   std::size_t Next = 0;
-  for (const WorkerShare &Share : this->Board.divide(
+  for (const WorkerShare &Share : this->Workers.divide(
            Target.Request, Wanted, Avoid, Placed, Awaits, Now.Steady)) {
     bool MayAskElsewhere =
         Share.StartsNow && Target.Bounces < this->Options.MaxBounces;
@@ -88,7 +88,8 @@
   }
   if (Next == Indexes.size())
     return true;
-  if (!Awaits || !this->Board.hasChoice(Target.Request, Avoid, Now.Steady))
+  if (!Awaits ||
+      !this->Workers.hasEligibleWorker(Target.Request, Avoid, Now.Steady))
     return false;
   this->awaitOffers(Target, Avoid,
                     static_cast<std::uint32_t>(Indexes.size() - Next), Now);
@@ -111,7 +112,7 @@
   Which.MissingSince = TimePoint::max();
   ++Target.OutCount;
   this->Contacts[Which.Agent].Wanted.insert(Which.Order);
-  this->Board.onSent(Which.Agent, Target.Request.Needs);
+  this->Workers.onSent(Which.Agent, Target.Request.Needs);
   peer::LeasedTask *Order = Batch[Which.Agent].add_tasks();
   Order->set_index(Index);
   Order->set_attempt(Which.Attempt);
@@ -125,7 +126,7 @@
   auto StartBy = slackOf(Target, Now);
   std::chrono::milliseconds GiveUp(millisBetween(Now.Steady, Target.GiveUpAt));
   for (auto &[Agent, Order] : Batch) {
-    LeasedWorker *Worker = this->Board.find(Agent);
+    LeasedWorker *Worker = this->Workers.find(Agent);
     Order.set_job(Request.Id);
     Order.set_agent_incarnation(Worker->Incarnation);
     Order.set_stamp(Worker->stampAt(Now.Steady));
@@ -147,7 +148,7 @@
          {"attempt", Order.tasks(0).attempt()},
          {"first_order", Order.tasks(0).order()},
          {"tasks", Order.tasks_size()},
-         {"heard_ms_ago", millisBetween(Worker->Heard, Now.Steady)}});
+         {"heard_ms_ago", millisBetween(Worker->LastHeard, Now.Steady)}});
     peer::Message Message;
     *Message.mutable_leased_dispatch() = std::move(Order);
     this->Sink.send(Worker->Agent, std::move(Message));
--- a/entry/lease_coordinator_watch.cpp
+++ b/entry/lease_coordinator_watch.cpp
@@ -40,8 +40,8 @@
 }
 
 void LeaseCoordinator::onUndelivered(const Undelivered &Lost, Instant Now) {
-  LeasedWorker *Worker = this->Board.find(Lost.To.Node);
-  if (Worker == nullptr || Worker->Silent)
+  LeasedWorker *Worker = this->Workers.find(Lost.To.Node);
+  if (Worker == nullptr || Worker->Unreachable)
     return;
   // Neither a verdict nor more messages while this process has to catch up;
   // what an agent has not got it will not list.
@@ -50,14 +50,14 @@
   Contact &Line = this->Contacts[Lost.To.Node];
   // Whatever was under way when a connection broke fails together.
   bool SameBreak = Lost.SentAt < Line.RepeatedAt;
-  bool HeardSince = Worker->Heard >= Line.RepeatedAt;
+  bool HeardSince = Worker->LastHeard >= Line.RepeatedAt;
   if (SameBreak || HeardSince) {
     if (!SameBreak)
       Line.RepeatedAt = Now.Steady;
     this->repeat(*Worker, Lost, Now);
     return;
   }
-  this->Board.setSilent(Lost.To.Node);
+  this->Workers.setUnreachable(Lost.To.Node);
   this->loseTasks(Lost.To.Node, /*OnlyEarlierLives=*/false,
                   "messages to it did not arrive, twice", Now);
 }
@@ -123,7 +123,7 @@
   // What was asked of it until now is not held against it once it is back.
   this->Contacts[Agent].AskedAt = TimePoint::max();
   this->Contacts[Agent].SentAt = TimePoint::max();
-  const LeasedWorker *Worker = this->Board.find(Agent);
+  const LeasedWorker *Worker = this->Workers.find(Agent);
   auto IsLost = [&](const Task &Which) {
     bool Earlier = Worker == nullptr || Which.Incarnation < Worker->Incarnation;
     return Which.Phase == TaskPhase::Sent && Which.Agent == Agent &&
@@ -173,7 +173,7 @@
 
 void LeaseCoordinator::onHeldOrders(const std::string &Agent,
                                     const peer::WorkerLoad &Load, Instant Now) {
-  const LeasedWorker *Worker = this->Board.find(Agent);
+  const LeasedWorker *Worker = this->Workers.find(Agent);
   // A late answer, or one of another life, says nothing of what is held now.
   bool Newest = Worker != nullptr &&
                 Load.incarnation() == Worker->Incarnation &&
@@ -258,11 +258,11 @@
   // Both are ordered by name. A look-up of each agent with each tick was one of
   // the entry's largest single costs (perf, 66 agents).
   auto Next = this->Contacts.begin();
-  for (const auto &[Agent, Worker] : this->Board.workers()) {
+  for (const auto &[Agent, Worker] : this->Workers.workers()) {
     // One that leaves lets its runs end, under leases that are renewed.
     if (!Worker.Alive && Worker.OwnTasks == 0)
       continue;
-    if (this->Board.isLost(Worker, Now.Steady)) {
+    if (this->Workers.isLost(Worker, Now.Steady)) {
       Lost.push_back(Agent);
       continue;
     }
@@ -281,7 +281,7 @@
       Line.SentAt = TimePoint::max();
     }
     if (isUnanswered(Line, this->Options.DoubtAfter, Now))
-      this->Board.setDoubtful(Agent);
+      this->Workers.setSuspect(Agent);
     bool Idle = Worker.OwnTasks == 0;
     if (!Idle && isUnanswered(Line, this->Options.SilenceLimit, Now))
       Silent.push_back(Agent);
@@ -296,12 +296,12 @@
   for (const std::string &Agent : Restarted)
     this->loseTasks(Agent, /*OnlyEarlierLives=*/true, "it has restarted", Now);
   for (const std::string &Agent : Lost) {
-    this->Board.setLost(Agent);
+    this->Workers.setLost(Agent);
     this->loseTasks(Agent, /*OnlyEarlierLives=*/false,
                     "control lost it and it is silent here", Now);
   }
   for (const std::string &Agent : Silent) {
-    this->Board.setSilent(Agent);
+    this->Workers.setUnreachable(Agent);
     this->loseTasks(Agent, /*OnlyEarlierLives=*/false,
                     "it left renewals unanswered", Now);
   }
@@ -316,10 +316,10 @@
     return Unheard || Now.Steady >= Line.NextRenewal;
   }
   // An idle agent is asked only if nothing has been heard of it otherwise.
-  std::chrono::milliseconds Pause = Worker.Silent || Worker.Doubtful
+  std::chrono::milliseconds Pause = Worker.Unreachable || Worker.Suspect
                                         ? this->Options.SilentEvery
                                         : Line.RefreshAfter;
-  return Now.Steady - std::max(Line.AskedToList, Worker.Heard) >= Pause;
+  return Now.Steady - std::max(Line.AskedToList, Worker.LastHeard) >= Pause;
 }
 
 std::chrono::milliseconds LeaseCoordinator::drawRefresh() {
@@ -371,7 +371,7 @@
       Which.AskStalledAt = std::min(Which.AskStalledAt, Now.Steady + Limit);
     if (Now.Steady < Which.AskStalledAt)
       continue;
-    LeasedWorker *Worker = this->Board.find(Which.Agent);
+    LeasedWorker *Worker = this->Workers.find(Which.Agent);
     if (Worker == nullptr)
       continue;
     Which.Stalled = true;
--- a/entry/worker_table.cpp
+++ b/entry/worker_table.cpp
@@ -20,10 +20,10 @@
 /// What a worker may be said to hold for others, in times its room: its runs
 /// and a queue. More is a mistake of its agent, and must neither close the pool
 /// nor go over the end of what placement adds up.
-constexpr std::uint64_t MostHeld = 3;
+constexpr std::uint64_t MaxReportedLoadFactor = 3;
 
 /// Of a worker's processor time, what others were last said to hold.
-double shareOf(const LeasedWorker &Worker) {
+double reportedShareOf(const LeasedWorker &Worker) {
   return static_cast<double>(Worker.OthersCpu) / Worker.Room.cpu_milli();
 }
 
@@ -31,7 +31,7 @@
 
 std::uint64_t LeasedWorker::stampAt(TimePoint Now) const {
   auto Age = std::chrono::duration_cast<std::chrono::milliseconds>(
-      Now - this->StampHeard);
+      Now - this->StampReceived);
   if (this->Stamp == 0 || Age.count() <= 0)
     return this->Stamp;
   Age = std::min(Age, MaxStampAge);
@@ -40,7 +40,7 @@
                            Age.count() * (Whole - ClockDriftPercent) / Whole);
 }
 
-bool LeaseBoard::update(const peer::Member &Member, TimePoint Now) {
+bool WorkerTable::update(const peer::Member &Member, TimePoint Now) {
   LeasedWorker &Target = this->Workers[Member.name()];
   // Late words of an older life change nothing.
   if (Member.incarnation() < Target.Incarnation)
@@ -56,46 +56,46 @@
     Target.Incarnation = Member.incarnation();
     // It came by way of control and is older than it looks.
     Target.Stamp = Member.freshness();
-    Target.StampHeard = Now;
+    Target.StampReceived = Now;
   }
   Target.State = Member.state();
   if (Member.state() == peer::MEMBER_LOST) {
-    Target.OnlyHeardHere = Target.Alive;
+    Target.OnlyReachableHere = Target.Alive;
     if (this->isLost(Target, Now))
       this->setLost(Member.name());
     return Replaced;
   }
-  Target.OnlyHeardHere = false;
+  Target.OnlyReachableHere = false;
   Target.Agent = {Member.name(), Member.address()};
   Target.Pool = Member.pool();
   Target.Labels = {Member.labels().begin(), Member.labels().end()};
   // What the agent itself says of its worker's room is newer.
-  if (!Target.RoomHeard)
+  if (!Target.RoomReported)
     Target.Room = Member.room();
   Target.Alive = Member.state() == peer::MEMBER_ALIVE;
   if (Target.Alive) {
-    Target.Silent = false;
-    Target.Doubtful = false;
+    Target.Unreachable = false;
+    Target.Suspect = false;
   }
   return Replaced;
 }
 
-bool LeaseBoard::isLost(const LeasedWorker &Worker, TimePoint Now) const {
+bool WorkerTable::isLost(const LeasedWorker &Worker, TimePoint Now) const {
   if (Worker.State != peer::MEMBER_LOST)
     return false;
-  return !Worker.OnlyHeardHere || Worker.Silent ||
-         Worker.Heard + this->Options.DirectContact < Now;
+  return !Worker.OnlyReachableHere || Worker.Unreachable ||
+         Worker.LastHeard + this->Options.DirectContactTimeout < Now;
 }
 
-void LeaseBoard::setLost(const std::string &Agent) {
+void WorkerTable::setLost(const std::string &Agent) {
   if (LeasedWorker *Target = this->find(Agent)) {
     Target->Alive = false;
-    Target->OnlyHeardHere = false;
+    Target->OnlyReachableHere = false;
   }
 }
 
-bool LeaseBoard::hear(const std::string &Agent, const peer::WorkerLoad &Load,
-                      TimePoint Now) {
+bool WorkerTable::onLoadReport(const std::string &Agent,
+                               const peer::WorkerLoad &Load, TimePoint Now) {
   LeasedWorker *Target = this->find(Agent);
   if (Target == nullptr || Load.incarnation() < Target->Incarnation)
     return false;
@@ -103,31 +103,31 @@
   if (NewLife) {
     Target->Incarnation = Load.incarnation();
     Target->Stamp = 0;
-    Target->RoomHeard = false;
+    Target->RoomReported = false;
     Target->Alive = true;
   }
-  Target->Silent = false;
-  Target->Doubtful = false;
-  Target->Heard = Now;
+  Target->Unreachable = false;
+  Target->Suspect = false;
+  Target->LastHeard = Now;
   if (Load.stamp() < Target->Stamp)
     return NewLife;
   Target->Stamp = Load.stamp();
-  Target->StampHeard = Now;
+  Target->StampReceived = Now;
   if (Load.has_room()) {
     Target->Room = Load.room();
-    Target->RoomHeard = true;
+    Target->RoomReported = true;
   }
-  this->takeOthers(*Target, Load.others_cpu_milli());
+  this->setOthersCpu(*Target, Load.others_cpu_milli());
   if (Target->Room.cpu_milli() > 0)
-    this->Forecasts[Target->Pool].onReport(shareOf(*Target), Now);
+    this->Forecasts[Target->Pool].onReport(reportedShareOf(*Target), Now);
   if (Load.leaving())
     Target->Alive = false;
-  this->takeShared(*Target, Load.failures_in_row(), Now);
+  this->applyReportedFailures(*Target, Load.failures_in_row(), Now);
   return NewLife;
 }
 
-void LeaseBoard::takeOthers(LeasedWorker &Target, std::uint32_t Told) {
-  std::uint64_t Most = MostHeld * Target.Room.cpu_milli();
+void WorkerTable::setOthersCpu(LeasedWorker &Target, std::uint32_t Told) {
+  std::uint64_t Most = MaxReportedLoadFactor * Target.Room.cpu_milli();
   bool IsNews = Target.OthersCpu < Most;
   if (Told > Most && IsNews)
     this->Log.decision("load_beyond_room",
@@ -139,26 +139,26 @@
       static_cast<std::uint32_t>(std::min<std::uint64_t>(Told, Most));
 }
 
-void LeaseBoard::setSilent(const std::string &Agent) {
+void WorkerTable::setUnreachable(const std::string &Agent) {
   if (LeasedWorker *Target = this->find(Agent))
-    Target->Silent = true;
+    Target->Unreachable = true;
 }
 
-void LeaseBoard::setDoubtful(const std::string &Agent) {
+void WorkerTable::setSuspect(const std::string &Agent) {
   if (LeasedWorker *Target = this->find(Agent))
-    Target->Doubtful = true;
+    Target->Suspect = true;
 }
 
-void LeaseBoard::onSent(const std::string &Agent,
-                        const peer::TaskNeeds &Needs) {
+void WorkerTable::onSent(const std::string &Agent,
+                         const peer::TaskNeeds &Needs) {
   if (LeasedWorker *Target = this->find(Agent)) {
     Target->OwnCpu += Needs.cpu_milli();
     ++Target->OwnTasks;
   }
 }
 
-void LeaseBoard::onSettled(const std::string &Agent,
-                           const peer::TaskNeeds &Needs) {
+void WorkerTable::onSettled(const std::string &Agent,
+                            const peer::TaskNeeds &Needs) {
   LeasedWorker *Target = this->find(Agent);
   if (Target == nullptr || Target->OwnTasks == 0)
     return;
@@ -166,8 +166,8 @@
   --Target->OwnTasks;
 }
 
-void LeaseBoard::onSuccess(const std::string &Agent,
-                           std::chrono::milliseconds Ran) {
+void WorkerTable::onSuccess(const std::string &Agent,
+                            std::chrono::milliseconds Ran) {
   if (LeasedWorker *Target = this->find(Agent)) {
     this->Forecasts[Target->Pool].onTaskEnded(Ran);
     Target->FailuresInRow = 0;
@@ -176,7 +176,7 @@
   }
 }
 
-bool LeaseBoard::onFailure(const std::string &Agent, TimePoint Now) {
+bool WorkerTable::onFailure(const std::string &Agent, TimePoint Now) {
   LeasedWorker *Target = this->find(Agent);
   if (Target == nullptr || Target->Ejected)
     return false;
@@ -186,7 +186,7 @@
   return Due && this->eject(*Target, Now);
 }
 
-bool LeaseBoard::eject(LeasedWorker &Target, TimePoint Now) {
+bool WorkerTable::eject(LeasedWorker &Target, TimePoint Now) {
   if (!this->mayEjectOneMore(Target.Pool))
     return false;
   Target.Ejected = true;
@@ -198,8 +198,9 @@
   return true;
 }
 
-void LeaseBoard::takeShared(LeasedWorker &Target, std::uint32_t FailuresInRow,
-                            TimePoint Now) {
+void WorkerTable::applyReportedFailures(LeasedWorker &Target,
+                                        std::uint32_t FailuresInRow,
+                                        TimePoint Now) {
   // Another entry's trial has succeeded.
   if (FailuresInRow == 0 && Target.Ejected) {
     Target.Ejected = false;
@@ -212,7 +213,7 @@
     this->eject(Target, Now);
 }
 
-bool LeaseBoard::mayEjectOneMore(const std::string &Pool) const {
+bool WorkerTable::mayEjectOneMore(const std::string &Pool) const {
   std::uint32_t Total = 0;
   std::uint32_t Out = 1;
   for (const auto &[Name, Worker] : this->Workers) {
@@ -222,18 +223,18 @@
     if (Worker.Ejected)
       ++Out;
   }
-  return Out * Percent <= Total * this->Options.MaxEjectedShare;
+  return Out * Percent <= Total * this->Options.MaxEjectedPercent;
 }
 
-LeasedWorker *LeaseBoard::find(const std::string &Agent) {
+LeasedWorker *WorkerTable::find(const std::string &Agent) {
   auto Found = this->Workers.find(Agent);
   return Found == this->Workers.end() ? nullptr : &Found->second;
 }
 
-bool LeaseBoard::mayTake(const LeasedWorker &Worker,
-                         const LeasedJobRequest &Job, TimePoint Now) const {
+bool WorkerTable::canTake(const LeasedWorker &Worker,
+                          const LeasedJobRequest &Job, TimePoint Now) const {
   // On an older stamp the agent would refuse it; it is being asked for one.
-  bool Fresh = Now - Worker.StampHeard < MaxStampAge;
+  bool Fresh = Now - Worker.StampReceived < MaxStampAge;
   bool Serves = Worker.isReachable() && Fresh && Worker.Pool == Job.Pool;
   if (!Serves || !holdsNeeds(Worker.Room, Job.Needs))
     return false;
@@ -245,59 +246,61 @@
   return !Tried || Worker.OwnTasks == 0;
 }
 
-bool LeaseBoard::hasReachable() const {
+bool WorkerTable::hasReachable() const {
   return std::any_of(
       this->Workers.begin(), this->Workers.end(),
       [](const auto &Item) { return Item.second.isReachable(); });
 }
 
-double LeaseBoard::pressure(const LeasedJobRequest &Job,
-                            std::uint64_t WaitingMilli, TimePoint Now) const {
-  const LoadForecast *Known = this->forecastOf(Job.Pool);
+double WorkerTable::pressure(const LeasedJobRequest &Job,
+                             std::uint64_t WaitingMilli, TimePoint Now) const {
+  const LoadForecast *Known = this->forecastFor(Job.Pool);
   auto Taken = static_cast<double>(WaitingMilli);
   double Room = 0;
   for (const auto &[Name, Worker] : this->Workers) {
-    if (!this->mayTake(Worker, Job, Now))
+    if (!this->canTake(Worker, Job, Now))
       continue;
-    Taken += othersShareAt(Worker, Known, Now) * Worker.Room.cpu_milli();
+    Taken += forecastOthersShare(Worker, Known, Now) * Worker.Room.cpu_milli();
     Taken += Worker.OwnCpu;
     Room += Worker.Room.cpu_milli();
   }
   return Room > 0 ? Taken / Room : 0;
 }
 
-const LoadForecast *LeaseBoard::forecastOf(const std::string &Pool) const {
+const LoadForecast *WorkerTable::forecastFor(const std::string &Pool) const {
   auto Known = this->Forecasts.find(Pool);
-  bool Used = this->Options.Forecasts && Known != this->Forecasts.end();
+  bool Used = this->Options.UseForecasts && Known != this->Forecasts.end();
   return Used ? &Known->second : nullptr;
 }
 
-double LeaseBoard::othersShareAt(const LeasedWorker &Worker,
-                                 const LoadForecast *Known, TimePoint Now) {
+double WorkerTable::forecastOthersShare(const LeasedWorker &Worker,
+                                        const LoadForecast *Known,
+                                        TimePoint Now) {
   if (Worker.Room.cpu_milli() == 0)
     return 0;
-  double Heard = shareOf(Worker);
-  return Known == nullptr ? Heard
-                          : Known->shareAt(Heard, Now - Worker.StampHeard);
+  double LastHeard = reportedShareOf(Worker);
+  return Known == nullptr
+             ? LastHeard
+             : Known->shareAt(LastHeard, Now - Worker.StampReceived);
 }
 
-Forecast LeaseBoard::othersAt(const LeasedWorker &Worker,
-                              const LoadForecast *Known, TimePoint Now) {
+Forecast WorkerTable::forecastOthers(const LeasedWorker &Worker,
+                                     const LoadForecast *Known, TimePoint Now) {
   if (Worker.Room.cpu_milli() == 0)
     return {};
-  double Heard = shareOf(Worker);
+  double LastHeard = reportedShareOf(Worker);
   if (Known == nullptr)
-    return {Heard, 0};
-  return Known->at(Heard, Now - Worker.StampHeard);
+    return {LastHeard, 0};
+  return Known->at(LastHeard, Now - Worker.StampReceived);
 }
 
-PlacementTarget LeaseBoard::targetFor(const LeasedWorker &Worker,
-                                      const LeasedJobRequest &Job,
-                                      const LoadForecast *Known,
-                                      TimePoint Now) const {
+PlacementTarget WorkerTable::targetFor(const LeasedWorker &Worker,
+                                       const LeasedJobRequest &Job,
+                                       const LoadForecast *Known,
+                                       TimePoint Now) const {
   PlacementTarget Target;
   Target.RoomMilli = Worker.Room.cpu_milli();
-  Forecast Others = othersAt(Worker, Known, Now);
+  Forecast Others = forecastOthers(Worker, Known, Now);
   auto Milli = [&](double Share) {
     return static_cast<std::uint32_t>(std::lround(Share * Target.RoomMilli));
   };
@@ -315,15 +318,15 @@
 }
 
 std::vector<WorkerShare>
-LeaseBoard::divide(const LeasedJobRequest &Job, std::uint32_t Tasks,
-                   const std::set<std::string> &Avoid,
-                   const std::map<std::string, std::uint32_t> &Placed,
-                   bool OnlyStarting, TimePoint Now) {
-  const LoadForecast *Known = this->forecastOf(Job.Pool);
+WorkerTable::divide(const LeasedJobRequest &Job, std::uint32_t Tasks,
+                    const std::set<std::string> &Avoid,
+                    const std::map<std::string, std::uint32_t> &Placed,
+                    bool OnlyStartingNow, TimePoint Now) {
+  const LoadForecast *Known = this->forecastFor(Job.Pool);
   std::vector<LeasedWorker *> Candidates;
   std::vector<PlacementTarget> Targets;
   for (auto &[Name, Worker] : this->Workers) {
-    if (!this->mayTake(Worker, Job, Now) || Avoid.contains(Name))
+    if (!this->canTake(Worker, Job, Now) || Avoid.contains(Name))
       continue;
     PlacementTarget Target = this->targetFor(Worker, Job, Known, Now);
     Target.Worker = Candidates.size();
@@ -333,9 +336,9 @@
     Targets.push_back(Target);
   }
   std::vector<WorkerShare> Shares;
-  for (const PlacementShare &Share :
-       this->Places->divide({Tasks, Job.Needs.cpu_milli(), OnlyStarting},
-                            std::move(Targets), this->Random)) {
+  for (const PlacementShare &Share : this->PlacementPolicy->divide(
+           {Tasks, Job.Needs.cpu_milli(), OnlyStartingNow}, std::move(Targets),
+           this->Random)) {
     LeasedWorker *Chosen = Candidates[Share.Worker];
     if (Chosen->Ejected) {
       Chosen->Ejected = false;
@@ -347,13 +350,13 @@
 }
 
 std::vector<const LeasedWorker *>
-LeaseBoard::draw(const LeasedJobRequest &Job,
-                 const std::set<std::string> &Avoid, std::size_t Count,
-                 TimePoint Now) {
+WorkerTable::sampleWorkers(const LeasedJobRequest &Job,
+                           const std::set<std::string> &Avoid,
+                           std::size_t Count, TimePoint Now) {
   std::vector<const LeasedWorker *> Eligible;
   for (const auto &[Name, Worker] : this->Workers) {
     bool Tried = Worker.Ejected || Worker.OnTrial;
-    if (!Tried && !Avoid.contains(Name) && this->mayTake(Worker, Job, Now))
+    if (!Tried && !Avoid.contains(Name) && this->canTake(Worker, Job, Now))
       Eligible.push_back(&Worker);
   }
   std::vector<const LeasedWorker *> Drawn;
@@ -362,13 +365,13 @@
   return Drawn;
 }
 
-bool LeaseBoard::hasChoice(const LeasedJobRequest &Job,
-                           const std::set<std::string> &Avoid,
-                           TimePoint Now) const {
+bool WorkerTable::hasEligibleWorker(const LeasedJobRequest &Job,
+                                    const std::set<std::string> &Avoid,
+                                    TimePoint Now) const {
   return std::any_of(this->Workers.begin(), this->Workers.end(),
                      [&](const auto &Item) {
                        return !Avoid.contains(Item.first) &&
-                              this->mayTake(Item.second, Job, Now);
+                              this->canTake(Item.second, Job, Now);
                      });
 }
 
--- a/entry/worker_table.h
+++ b/entry/worker_table.h
@@ -25,7 +25,7 @@
 
 namespace yardwheel {
 
-struct LeaseBoardOptions {
+struct WorkerTableOptions {
   /// Failures in a row after which a worker gets no new tasks.
   std::uint32_t EjectAfter = 3;
   /// Doubles with each failed trial.
@@ -33,16 +33,16 @@
   std::chrono::milliseconds MaxBackoff{8000};
   /// An agent that control has lost is used on while it was heard from within
   /// this; twice the time between two questions to an idle agent.
-  std::chrono::milliseconds DirectContact{2000};
+  std::chrono::milliseconds DirectContactTimeout{2000};
   /// At most this share of a pool's workers is out at once, in percent.
-  std::uint32_t MaxEjectedShare = 50;
+  std::uint32_t MaxEjectedPercent = 50;
   /// A run off the preferred rack is taken to last this many times as long.
   double OffRackFactor = 1.5;
   /// How a job's tasks are divided among workers; see dispatch/placement.h.
   std::string Placement = "packed";
   /// Off only to compare: what was last heard of a worker then stands for what
   /// it holds, however old it is.
-  bool Forecasts = true;
+  bool UseForecasts = true;
 };
 
 /// An agent and its worker, as this entry sees them.
@@ -55,8 +55,8 @@
   /// Whether this entry has reached it and may send it tasks. That control
   /// knows of an agent does not say that this entry reaches it.
   bool isReachable() const {
-    return this->Alive && !this->Silent && !this->Doubtful &&
-           this->Heard != TimePoint();
+    return this->Alive && !this->Unreachable && !this->Suspect &&
+           this->LastHeard != TimePoint();
   }
 
   PeerRef Agent;
@@ -65,22 +65,22 @@
   std::set<std::string> Labels;
   peer::TaskNeeds Room;
   /// Its agent has told of its room, which may change while it runs.
-  bool RoomHeard = false;
+  bool RoomReported = false;
   /// As control last told.
   peer::MemberState State = peer::MEMBER_UNSPECIFIED;
   bool Alive = false;
   /// Control no longer hears it, but this entry does.
-  bool OnlyHeardHere = false;
+  bool OnlyReachableHere = false;
   /// Reported lost by a link; nothing is sent until it is heard again.
-  bool Silent = false;
+  bool Unreachable = false;
   /// Has left a question unanswered for a while; nothing new is sent until it
   /// is heard again.
-  bool Doubtful = false;
+  bool Suspect = false;
   /// Newest stamp of the agent's clock, and when it came, by ours.
   std::uint64_t Stamp = 0;
-  TimePoint StampHeard;
+  TimePoint StampReceived;
   /// When this life of it was last heard here; not yet if at the epoch.
-  TimePoint Heard;
+  TimePoint LastHeard;
   /// Processor time that others hold there, as last told.
   std::uint32_t OthersCpu = 0;
   std::uint32_t OwnCpu = 0;
@@ -102,11 +102,11 @@
   bool StartsNow = false;
 };
 
-class LeaseBoard {
+class WorkerTable {
 public:
-  LeaseBoard(const LeaseBoardOptions &Options, std::uint64_t Seed)
+  WorkerTable(const WorkerTableOptions &Options, std::uint64_t Seed)
       : Options(Options), Random(Seed),
-        Places(makePlacement(Options.Placement)) {}
+        PlacementPolicy(makePlacement(Options.Placement)) {}
 
   /// Takes an announcement. An agent that control has lost may be cut off from
   /// control alone, so it stays in use while this entry hears it.
@@ -118,10 +118,10 @@
   /// Takes what an agent says of its load; words of an older life are dropped.
   /// Failures that other entries met there count as if met here.
   /// \returns whether they are those of a life not known of yet.
-  bool hear(const std::string &Agent, const peer::WorkerLoad &Load,
-            TimePoint Now);
-  void setSilent(const std::string &Agent);
-  void setDoubtful(const std::string &Agent);
+  bool onLoadReport(const std::string &Agent, const peer::WorkerLoad &Load,
+                    TimePoint Now);
+  void setUnreachable(const std::string &Agent);
+  void setSuspect(const std::string &Agent);
 
   void onSent(const std::string &Agent, const peer::TaskNeeds &Needs);
   void onSettled(const std::string &Agent, const peer::TaskNeeds &Needs);
@@ -148,48 +148,49 @@
   /// asked for where not all may be placed. A worker back from ejection gets a
   /// single one. \param Avoid Agents that have refused or failed the tasks.
   /// \param Placed Tasks of the job that each agent has already.
-  /// \param OnlyStarting Whether to place only what would start at once.
+  /// \param OnlyStartingNow Whether to place only what would start at once.
   std::vector<WorkerShare>
   divide(const LeasedJobRequest &Job, std::uint32_t Tasks,
          const std::set<std::string> &Avoid,
-         const std::map<std::string, std::uint32_t> &Placed, bool OnlyStarting,
-         TimePoint Now);
+         const std::map<std::string, std::uint32_t> &Placed,
+         bool OnlyStartingNow, TimePoint Now);
 
   /// Some workers that may take tasks of the job, drawn at random.
-  std::vector<const LeasedWorker *> draw(const LeasedJobRequest &Job,
-                                         const std::set<std::string> &Avoid,
-                                         std::size_t Count, TimePoint Now);
+  std::vector<const LeasedWorker *>
+  sampleWorkers(const LeasedJobRequest &Job, const std::set<std::string> &Avoid,
+                std::size_t Count, TimePoint Now);
 
   /// Whether any worker may take a task of the job.
-  bool hasChoice(const LeasedJobRequest &Job,
-                 const std::set<std::string> &Avoid, TimePoint Now) const;
+  bool hasEligibleWorker(const LeasedJobRequest &Job,
+                         const std::set<std::string> &Avoid,
+                         TimePoint Now) const;
 
 private:
   /// Takes what a worker is said to hold for others, within what it can.
-  void takeOthers(LeasedWorker &Target, std::uint32_t Told);
-  bool mayTake(const LeasedWorker &Worker, const LeasedJobRequest &Job,
+  void setOthersCpu(LeasedWorker &Target, std::uint32_t Told);
+  bool canTake(const LeasedWorker &Worker, const LeasedJobRequest &Job,
                TimePoint Now) const;
-  /// \param Known The forecast of the worker's pool, from forecastOf.
+  /// \param Known The forecast of the worker's pool, from forecastFor.
   PlacementTarget targetFor(const LeasedWorker &Worker,
                             const LeasedJobRequest &Job,
                             const LoadForecast *Known, TimePoint Now) const;
   /// Nothing where nothing has been heard of the pool, or forecasts are off.
-  const LoadForecast *forecastOf(const std::string &Pool) const;
+  const LoadForecast *forecastFor(const std::string &Pool) const;
   /// What others hold of a worker by now.
-  static Forecast othersAt(const LeasedWorker &Worker,
-                           const LoadForecast *Known, TimePoint Now);
+  static Forecast forecastOthers(const LeasedWorker &Worker,
+                                 const LoadForecast *Known, TimePoint Now);
   /// The same without its deviation, for each worker with each job.
-  static double othersShareAt(const LeasedWorker &Worker,
-                              const LoadForecast *Known, TimePoint Now);
+  static double forecastOthersShare(const LeasedWorker &Worker,
+                                    const LoadForecast *Known, TimePoint Now);
   bool mayEjectOneMore(const std::string &Pool) const;
   /// \returns whether the worker may be and has been ejected.
   bool eject(LeasedWorker &Target, TimePoint Now);
-  void takeShared(LeasedWorker &Target, std::uint32_t FailuresInRow,
-                  TimePoint Now);
+  void applyReportedFailures(LeasedWorker &Target, std::uint32_t FailuresInRow,
+                             TimePoint Now);
 
-  LeaseBoardOptions Options;
+  WorkerTableOptions Options;
   std::mt19937_64 Random;
-  std::unique_ptr<const Placement> Places;
+  std::unique_ptr<const Placement> PlacementPolicy;
   std::map<std::string, LeasedWorker> Workers;
   /// By pool.
   std::map<std::string, LoadForecast> Forecasts;
--- a/tests/agent/worker_room_test.cpp
+++ b/tests/agent/worker_room_test.cpp
@@ -208,31 +208,31 @@
 // control's word, which comes later, takes it back.
 TEST(WorkerRoomTest, AnEntryPlacesByTheRoomThatItsAgentTold) {
   TimePoint Now(1h);
-  LeaseBoard Board(LeaseBoardOptions(), 1);
+  WorkerTable Table(WorkerTableOptions(), 1);
   peer::Member Member;
   Member.set_name("a");
   Member.set_incarnation(AgentLife);
   Member.set_state(peer::MEMBER_ALIVE);
   Member.set_pool("pool");
   Member.mutable_room()->set_cpu_milli(4 * Core);
-  Board.update(Member, Now);
+  Table.update(Member, Now);
   auto Hear = [&](std::uint64_t Stamp, std::uint32_t Cores) {
     peer::WorkerLoad Load;
     Load.set_incarnation(AgentLife);
     Load.set_stamp(Stamp);
     Load.mutable_room()->set_cpu_milli(Cores * Core);
-    Board.hear("a", Load, Now);
-    return Board.find("a")->Room.cpu_milli();
+    Table.onLoadReport("a", Load, Now);
+    return Table.find("a")->Room.cpu_milli();
   };
   LONGS_EQUAL(2 * Core, Hear(20, 2));
   LONGS_EQUAL(2 * Core, Hear(10, 8));
-  Board.update(Member, Now);
-  LONGS_EQUAL(2 * Core, Board.find("a")->Room.cpu_milli());
+  Table.update(Member, Now);
+  LONGS_EQUAL(2 * Core, Table.find("a")->Room.cpu_milli());
   LONGS_EQUAL(0, Hear(30, 0));
   LeasedJobRequest Job;
   Job.Pool = "pool";
   Job.Needs.set_cpu_milli(Core);
-  CHECK_FALSE(Board.hasChoice(Job, {}, Now));
+  CHECK_FALSE(Table.hasEligibleWorker(Job, {}, Now));
   LONGS_EQUAL(6 * Core, Hear(40, 6));
-  CHECK(Board.hasChoice(Job, {}, Now));
+  CHECK(Table.hasEligibleWorker(Job, {}, Now));
 }
--- a/tests/entry/coordinator_agents_test.cpp
+++ b/tests/entry/coordinator_agents_test.cpp
@@ -275,12 +275,12 @@
     hear("a", Newest);
     Coordinator.submit(request(1, "new"), 2, Now);
     pass(100ms);
-    LONGS_EQUAL_TEXT(1, Coordinator.board().workers().at("a").OwnTasks,
+    LONGS_EQUAL_TEXT(1, Coordinator.workerTable().workers().at("a").OwnTasks,
                      Row.Name);
-    LONGS_EQUAL_TEXT(1000, Coordinator.board().workers().at("a").OwnCpu,
+    LONGS_EQUAL_TEXT(1000, Coordinator.workerTable().workers().at("a").OwnCpu,
                      Row.Name);
     answer(Sink.Dispatches.size() - 1, peer::LEASED_DONE);
-    LONGS_EQUAL_TEXT(0, Coordinator.board().workers().at("a").OwnTasks,
+    LONGS_EQUAL_TEXT(0, Coordinator.workerTable().workers().at("a").OwnTasks,
                      Row.Name);
   }
 }
@@ -373,7 +373,7 @@
   for (const Row &Row : Rows) {
     LeasedWorker Worker;
     Worker.Stamp = 1000;
-    Worker.StampHeard = Now.Steady;
+    Worker.StampReceived = Now.Steady;
     std::uint64_t Carried = Worker.stampAt(Now.Steady + Row.Passed);
     CHECK(Carried >= Row.Least);
     CHECK(Carried <= Row.Most);
--- a/tests/entry/coordinator_bench.h
+++ b/tests/entry/coordinator_bench.h
@@ -76,7 +76,7 @@
 /// how these are told apart.
 inline CoordinatorOptions spreadOptions() {
   CoordinatorOptions Options;
-  Options.Board.Placement = "spread";
+  Options.Workers.Placement = "spread";
   return Options;
 }
 
--- a/tests/entry/coordinator_lists_test.cpp
+++ b/tests/entry/coordinator_lists_test.cpp
@@ -50,7 +50,7 @@
     answer(Sink.Dispatches.size() - 1, peer::LEASED_DONE);
     CHECK_TEXT(Answers.Answers.back().second.End == LeasedEnd::Completed,
                Row.Name);
-    LONGS_EQUAL_TEXT(0, Coordinator.board().workers().at("a").OwnTasks,
+    LONGS_EQUAL_TEXT(0, Coordinator.workerTable().workers().at("a").OwnTasks,
                      Row.Name);
   }
 }
--- a/tests/entry/lease_fleet_test.cpp
+++ b/tests/entry/lease_fleet_test.cpp
@@ -18,7 +18,7 @@
   MixedLoadOptions Options = fleetLoad();
   Options.Factor = Factor;
   Options.World.Seed = Seed;
-  Options.World.Coordinator.Board.Forecasts = Forecasts;
+  Options.World.Coordinator.Workers.UseForecasts = Forecasts;
   return playMixed(Options);
 }
 
--- a/tests/entry/worker_table_test.cpp
+++ b/tests/entry/worker_table_test.cpp
@@ -26,7 +26,7 @@
 constexpr std::uint64_t Life = 7;
 const TimePoint Now(1h);
 
-void addWorker(LeaseBoard &Board, const std::string &Name,
+void addWorker(WorkerTable &Table, const std::string &Name,
                std::uint32_t OthersMilli) {
   peer::Member Member;
   Member.set_name(Name);
@@ -34,12 +34,12 @@
   Member.set_state(peer::MEMBER_ALIVE);
   Member.set_pool("pool");
   Member.mutable_room()->set_cpu_milli(RoomMilli);
-  Board.update(Member, Now);
+  Table.update(Member, Now);
   peer::WorkerLoad Load;
   Load.set_incarnation(Life);
   Load.set_stamp(1);
   Load.set_others_cpu_milli(OthersMilli);
-  Board.hear(Name, Load, Now);
+  Table.onLoadReport(Name, Load, Now);
 }
 
 LeasedJobRequest job() {
@@ -51,9 +51,9 @@
 
 } // namespace
 
-TEST_GROUP(LeaseBoardTest){};
+TEST_GROUP(WorkerTableTest){};
 
-TEST(LeaseBoardTest, OneAgentsWordClosesNoPoolAndDrawsNoTasks) {
+TEST(WorkerTableTest, OneAgentsWordClosesNoPoolAndDrawsNoTasks) {
   struct Row {
     const char *Name;
     std::uint32_t OthersMilli;
@@ -65,14 +65,14 @@
                       {"the most", UINT32_MAX},
                       {"the most but one task", UINT32_MAX - 1000}};
   for (const Row &Row : Rows) {
-    LeaseBoard Board(LeaseBoardOptions(), 1);
+    WorkerTable Table(WorkerTableOptions(), 1);
     for (int I = 0; I < 8; ++I)
-      addWorker(Board, fmt::format("empty-{}", I), 0);
-    addWorker(Board, "loud", Row.OthersMilli);
-    Board.find("loud")->OwnCpu = 2000;
-    double Pressure = Board.pressure(job(), 0, Now);
+      addWorker(Table, fmt::format("empty-{}", I), 0);
+    addWorker(Table, "loud", Row.OthersMilli);
+    Table.find("loud")->OwnCpu = 2000;
+    double Pressure = Table.pressure(job(), 0, Now);
     CHECK_TEXT(Pressure > 0 && Pressure < 1, Row.Name);
-    for (const WorkerShare &Share : Board.divide(job(), 8, {}, {}, false, Now))
-      CHECK_TEXT(Share.Worker != Board.find("loud"), Row.Name);
+    for (const WorkerShare &Share : Table.divide(job(), 8, {}, {}, false, Now))
+      CHECK_TEXT(Share.Worker != Table.find("loud"), Row.Name);
   }
 }
