--- a/entry/crash_record.cpp
+++ b/entry/crash_record.cpp
@@ -5,45 +5,46 @@
 
 namespace yardwheel {
 
-CrashRecord::Suspicion &CrashRecord::touch(const TaskName &Task,
-                                           TimePoint Now) {
-  if (this->Tasks.size() >= this->Options.MostTasks &&
+CrashRecord::TaskRecord &CrashRecord::touch(const TaskKey &Task,
+                                            TimePoint Now) {
+  if (this->Tasks.size() >= this->Options.MaxTasks &&
       !this->Tasks.contains(Task)) {
-    auto Oldest = std::min_element(this->Tasks.begin(), this->Tasks.end(),
-                                   [](const auto &A, const auto &B) {
-                                     return A.second.Used < B.second.Used;
-                                   });
+    auto Oldest =
+        std::min_element(this->Tasks.begin(), this->Tasks.end(),
+                         [](const auto &A, const auto &B) {
+                           return A.second.LastUsed < B.second.LastUsed;
+                         });
     this->Tasks.erase(Oldest);
   }
-  Suspicion &Known = this->Tasks[Task];
-  Known.Used = Now;
+  TaskRecord &Known = this->Tasks[Task];
+  Known.LastUsed = Now;
   return Known;
 }
 
-void CrashRecord::noteLost(const std::string &Job, std::uint32_t Index,
-                           const std::string &Agent, std::uint64_t Incarnation,
-                           TimePoint Now) {
+void CrashRecord::onWorkerLost(const std::string &Job, std::uint32_t Index,
+                               const std::string &Agent,
+                               std::uint64_t Incarnation, TimePoint Now) {
   // Its crash has named the tasks that may be the cause, and not this one.
-  WorkerLife Life{Agent, Incarnation};
+  WorkerIncarnation Life{Agent, Incarnation};
   if (!this->Crashes.contains(Life))
     this->touch({Job, Index}, Now).Lost.insert(std::move(Life));
 }
 
-std::vector<std::string> CrashRecord::noteCrash(const std::string &Agent,
-                                                const peer::WorkerCrash &Crash,
-                                                TimePoint Now) {
-  WorkerLife Life{Agent, Crash.incarnation()};
+std::vector<std::string>
+CrashRecord::onWorkerCrashed(const std::string &Agent,
+                             const peer::WorkerCrash &Crash, TimePoint Now) {
+  WorkerIncarnation Life{Agent, Crash.incarnation()};
   // An agent tells each crash many times.
-  bool Told = this->Crashes.contains(Life);
+  bool AlreadyReported = this->Crashes.contains(Life);
   this->Crashes[Life] = Now;
-  if (Told)
+  if (AlreadyReported)
     return {};
-  std::set<TaskName> Named;
+  std::set<TaskKey> Named;
   std::set<std::string> Settled;
   for (const peer::CrashedTask &Task : Crash.tasks()) {
-    TaskName Name{Task.job(), Task.index()};
+    TaskKey Name{Task.job(), Task.index()};
     Named.insert(Name);
-    Suspicion &Known = this->touch(Name, Now);
+    TaskRecord &Known = this->touch(Name, Now);
     Known.Lost.insert(Life);
     Known.Crashed.insert(Life);
     Known.StartedLast += Task.started_last() ? 1 : 0;
@@ -56,29 +57,30 @@
   return {Settled.begin(), Settled.end()};
 }
 
-CrashVerdict CrashRecord::judge(const Suspicion &Known) const {
-  if (Known.StartedLast >= this->Options.MostCrashes ||
-      Known.Crashed.size() >= this->Options.MostCrashesBeside)
-    return CrashVerdict::GivenUp;
+CrashVerdict CrashRecord::judge(const TaskRecord &Known) const {
+  if (Known.StartedLast >= this->Options.MaxCrashesStartedLast ||
+      Known.Crashed.size() >= this->Options.MaxCrashesAnyTask)
+    return CrashVerdict::Abandoned;
   bool AllKnown = Known.Lost.size() == Known.Crashed.size();
-  bool Held = Known.Lost.size() >= this->Options.MostCrashes && !AllKnown;
-  return Held ? CrashVerdict::Held : CrashVerdict::Clear;
+  bool OnHold =
+      Known.Lost.size() >= this->Options.MaxCrashesStartedLast && !AllKnown;
+  return OnHold ? CrashVerdict::OnHold : CrashVerdict::Allowed;
 }
 
 CrashVerdict CrashRecord::verdict(const std::string &Job,
                                   std::uint32_t Index) const {
   auto Found = this->Tasks.find({Job, Index});
-  return Found == this->Tasks.end() ? CrashVerdict::Clear
+  return Found == this->Tasks.end() ? CrashVerdict::Allowed
                                     : this->judge(Found->second);
 }
 
-std::string CrashRecord::describeGivenUp(const std::string &Job) const {
+std::string CrashRecord::describeAbandoned(const std::string &Job) const {
   for (auto It = this->Tasks.lower_bound({Job, 0});
        It != this->Tasks.end() && It->first.Job == Job; ++It) {
-    if (this->judge(It->second) != CrashVerdict::GivenUp)
+    if (this->judge(It->second) != CrashVerdict::Abandoned)
       continue;
     std::string Agents;
-    for (const WorkerLife &Life : It->second.Crashed)
+    for (const WorkerIncarnation &Life : It->second.Crashed)
       Agents += (Agents.empty() ? "" : ", ") + Life.Agent;
     return fmt::format("task {} has crashed the upstreams of {}",
                        It->first.Index, Agents);
@@ -88,10 +90,10 @@
 
 void CrashRecord::sweep(TimePoint Now) {
   std::erase_if(this->Tasks, [&](const auto &Item) {
-    return Now - Item.second.Used > this->Options.Memory;
+    return Now - Item.second.LastUsed > this->Options.Retention;
   });
   std::erase_if(this->Crashes, [&](const auto &Item) {
-    return Now - Item.second > this->Options.Memory;
+    return Now - Item.second > this->Options.Retention;
   });
 }
 
--- a/entry/lease_coordinator.cpp
+++ b/entry/lease_coordinator.cpp
@@ -80,11 +80,11 @@
                                  const peer::WorkerLoad &Load, Instant Now) {
   for (const peer::WorkerCrash &Crash : Load.crashes())
     for (const std::string &Id :
-         this->Crashes.noteCrash(Agent, Crash, Now.Steady)) {
+         this->Crashes.onWorkerCrashed(Agent, Crash, Now.Steady)) {
       Job *Target = this->find(Id);
       if (Target == nullptr || Target->Phase != JobPhase::Running)
         continue;
-      std::string Why = this->Crashes.describeGivenUp(Id);
+      std::string Why = this->Crashes.describeAbandoned(Id);
       if (Why.empty()) {
         this->placeSoon(*Target);
         continue;
@@ -227,8 +227,8 @@
                                     Instant Now) {
   Target.MayHaveRun = true;
   if (Update.worker_lost())
-    this->Crashes.noteLost(Target.Request.Id, Update.index(), Agent,
-                           Which.Incarnation, Now.Steady);
+    this->Crashes.onWorkerLost(Target.Request.Id, Update.index(), Agent,
+                               Which.Incarnation, Now.Steady);
   this->settle(Target, Which, TaskPhase::Unplaced);
   // It looks the emptiest, so without this the task would go there again.
   bool WorkerAtFault =
--- a/entry/lease_coordinator_intake.cpp
+++ b/entry/lease_coordinator_intake.cpp
@@ -61,7 +61,7 @@
 
 bool LeaseCoordinator::refuseGivenUp(const LeasedJobRequest &Request,
                                      const std::vector<Caller> &Callers) {
-  std::string Why = this->Crashes.describeGivenUp(Request.Id);
+  std::string Why = this->Crashes.describeAbandoned(Request.Id);
   if (Why.empty())
     return false;
   this->Log.decision(
--- a/entry/lease_coordinator_placement.cpp
+++ b/entry/lease_coordinator_placement.cpp
@@ -39,7 +39,7 @@
     if (Which.Phase != TaskPhase::Unplaced)
       continue;
     // It waits here until it is known whether those workers have crashed.
-    if (this->Crashes.verdict(Target.Request.Id, I) == CrashVerdict::Held)
+    if (this->Crashes.verdict(Target.Request.Id, I) == CrashVerdict::OnHold)
       continue;
     Groups[Which.Avoid].push_back(I);
     Allowed = Allowed && Which.Attempt < this->Options.MaxPlacements;
--- a/tests/entry/crash_record_test.cpp
+++ b/tests/entry/crash_record_test.cpp
@@ -45,96 +45,97 @@
   };
   // Of task 0.
   const Row Rows[] = {
-      {"nothing known", {}, CrashVerdict::Clear},
-      {"one lost", {{Event::Lost, "a", 1, {}}}, CrashVerdict::Clear},
-      {"one crashed", {{Event::Crashed, "a", 1, {0}}}, CrashVerdict::Clear},
+      {"nothing known", {}, CrashVerdict::Allowed},
+      {"one lost", {{Event::Lost, "a", 1, {}}}, CrashVerdict::Allowed},
+      {"one crashed", {{Event::Crashed, "a", 1, {0}}}, CrashVerdict::Allowed},
       {"lost, then known to have crashed",
        {{Event::Lost, "a", 1, {}}, {Event::Crashed, "a", 1, {0}}},
-       CrashVerdict::Clear},
+       CrashVerdict::Allowed},
       {"the same crash told twice",
        {{Event::Crashed, "a", 1, {0}}, {Event::Crashed, "a", 1, {0}}},
-       CrashVerdict::Clear},
+       CrashVerdict::Allowed},
       {"two lost, perhaps only cut off",
        {{Event::Lost, "a", 1, {}}, {Event::Lost, "b", 1, {}}},
-       CrashVerdict::Held},
+       CrashVerdict::OnHold},
       {"one of the two has crashed",
        {{Event::Lost, "a", 1, {}},
         {Event::Lost, "b", 1, {}},
         {Event::Crashed, "a", 1, {0}}},
-       CrashVerdict::Held},
+       CrashVerdict::OnHold},
       {"both have crashed",
        {{Event::Lost, "a", 1, {}},
         {Event::Lost, "b", 1, {}},
         {Event::Crashed, "a", 1, {0}},
         {Event::Crashed, "b", 1, {0}}},
-       CrashVerdict::GivenUp},
+       CrashVerdict::Abandoned},
       {"two lives of one worker",
        {{Event::Crashed, "a", 1, {0}}, {Event::Crashed, "a", 2, {0}}},
-       CrashVerdict::GivenUp},
+       CrashVerdict::Abandoned},
       {"heard of from agents alone",
        {{Event::Crashed, "a", 1, {1, 0}}, {Event::Crashed, "b", 4, {0}}},
-       CrashVerdict::GivenUp},
+       CrashVerdict::Abandoned},
       {"twice beside the cause",
        {{Event::Crashed, "a", 1, {0, 1}}, {Event::Crashed, "b", 1, {0, 1}}},
-       CrashVerdict::Clear},
+       CrashVerdict::Allowed},
       {"twice beside the cause, then lost",
        {{Event::Crashed, "a", 1, {0, 1}},
         {Event::Crashed, "b", 1, {0, 1}},
         {Event::Lost, "c", 1, {}}},
-       CrashVerdict::Held},
+       CrashVerdict::OnHold},
       {"once beside the cause, once started last",
        {{Event::Crashed, "a", 1, {0, 1}}, {Event::Crashed, "b", 1, {1, 0}}},
-       CrashVerdict::Clear},
+       CrashVerdict::Allowed},
       {"three crashes beside others",
        {{Event::Crashed, "a", 1, {0, 1}},
         {Event::Crashed, "b", 1, {0, 2}},
         {Event::Crashed, "c", 1, {0, 3}}},
-       CrashVerdict::GivenUp},
+       CrashVerdict::Abandoned},
       {"a crash under other tasks",
        {{Event::Lost, "a", 1, {}}, {Event::Crashed, "a", 1, {1}}},
-       CrashVerdict::Clear},
+       CrashVerdict::Allowed},
       {"told of the crash before of the loss",
        {{Event::Crashed, "a", 1, {1}}, {Event::Lost, "a", 1, {}}},
-       CrashVerdict::Clear},
+       CrashVerdict::Allowed},
       {"one under other tasks, one not known",
        {{Event::Lost, "a", 1, {}},
         {Event::Lost, "b", 1, {}},
         {Event::Crashed, "a", 1, {1}}},
-       CrashVerdict::Clear},
+       CrashVerdict::Allowed},
   };
   for (const Row &Row : Rows) {
     CrashRecord Record;
     for (const Event &What : Row.Events)
       if (What.Kind == Event::Lost)
-        Record.noteLost("job", 0, What.Agent, What.Life, Start);
+        Record.onWorkerLost("job", 0, What.Agent, What.Life, Start);
       else
-        Record.noteCrash(What.Agent, crash(What.Life, What.Named), Start);
+        Record.onWorkerCrashed(What.Agent, crash(What.Life, What.Named), Start);
     CHECK_TEXT(Row.Expected == Record.verdict("job", 0), Row.Name);
-    bool GivenUp = !Record.describeGivenUp("job").empty();
-    CHECK_EQUAL_TEXT(Row.Expected == CrashVerdict::GivenUp, GivenUp, Row.Name);
-    CHECK_TEXT(Record.verdict("other", 0) == CrashVerdict::Clear, Row.Name);
+    bool Abandoned = !Record.describeAbandoned("job").empty();
+    CHECK_EQUAL_TEXT(Row.Expected == CrashVerdict::Abandoned, Abandoned,
+                     Row.Name);
+    CHECK_TEXT(Record.verdict("other", 0) == CrashVerdict::Allowed, Row.Name);
   }
 }
 
 TEST(CrashRecordTest, WhoIsGivenUpIsSaid) {
   CrashRecord Record;
-  Record.noteCrash("a", crash(1, {3}), Start);
-  Record.noteCrash("b", crash(1, {2, 3}), Start);
+  Record.onWorkerCrashed("a", crash(1, {3}), Start);
+  Record.onWorkerCrashed("b", crash(1, {2, 3}), Start);
   STRCMP_EQUAL("task 3 has crashed the upstreams of a, b",
-               Record.describeGivenUp("beside").c_str());
-  STRCMP_EQUAL("", Record.describeGivenUp("job").c_str());
+               Record.describeAbandoned("beside").c_str());
+  STRCMP_EQUAL("", Record.describeAbandoned("job").c_str());
 }
 
 TEST(CrashRecordTest, WhatItRemembersIsBounded) {
   CrashRecordOptions Options;
-  Options.MostTasks = 10;
+  Options.MaxTasks = 10;
   CrashRecord Record(Options);
   for (std::uint32_t I = 0; I < 100; ++I)
-    Record.noteLost(fmt::format("job-{}", I), 0, "a", 1,
-                    Start + std::chrono::milliseconds(I));
+    Record.onWorkerLost(fmt::format("job-{}", I), 0, "a", 1,
+                        Start + std::chrono::milliseconds(I));
   LONGS_EQUAL(10, Record.tasks());
-  Record.noteLost("job-99", 0, "b", 1, Start + 100ms);
-  CHECK(Record.verdict("job-99", 0) == CrashVerdict::Held);
-  Record.sweep(Start + Options.Memory + 200ms);
+  Record.onWorkerLost("job-99", 0, "b", 1, Start + 100ms);
+  CHECK(Record.verdict("job-99", 0) == CrashVerdict::OnHold);
+  Record.sweep(Start + Options.Retention + 200ms);
   LONGS_EQUAL(0, Record.tasks());
 }
--- a/tests/entry/crashing_task_test.cpp
+++ b/tests/entry/crashing_task_test.cpp
@@ -68,8 +68,8 @@
     Options.Entries = Entries;
     Options.RoomsMilli = {8 * Core};
     if (!Counts)
-      Options.Coordinator.Crashes = {.MostCrashes = SIZE_MAX,
-                                     .MostCrashesBeside = SIZE_MAX};
+      Options.Coordinator.Crashes = {.MaxCrashesStartedLast = SIZE_MAX,
+                                     .MaxCrashesAnyTask = SIZE_MAX};
     return Options;
   }
 
@@ -142,7 +142,7 @@
   struct Row {
     const char *Name;
     bool Counts;
-    std::uint32_t MostCrashes;
+    std::uint32_t MaxCrashes;
     double LeastInTime;
   };
   const Row Rows[] = {{"counted", true, 2, 0.9}, {"not counted", false, 12, 0}};
@@ -168,7 +168,7 @@
         "failed {} of {}",
         Row.Name, Toll.Crashes, Toll.MostUnderOneTask, Ordinary.InTime,
         Ordinary.Late, Ordinary.Refused, Ordinary.Failed, Ordinary.Asked);
-    CHECK_TEXT(Toll.MostUnderOneTask <= Row.MostCrashes, Found.c_str());
+    CHECK_TEXT(Toll.MostUnderOneTask <= Row.MaxCrashes, Found.c_str());
     CHECK_TEXT(InTime[I] >= Row.LeastInTime, Found.c_str());
     CHECK_TEXT(!Row.Counts || Ordinary.Failed == 0, Found.c_str());
     LONGS_EQUAL(0, Story.World.doubledRuns());
