--- a/entry/lease_coordinator.h
+++ b/entry/lease_coordinator.h
@@ -264,11 +264,11 @@
     std::set<std::uint64_t> Wanted;
     /// Placements that were given up when it was lost, by their numbers. It
     /// may hold them all the same.
-    struct Abandoned {
+    struct GivenUp {
       std::string Job;
       TimePoint PlacedAt;
     };
-    std::map<std::uint64_t, Abandoned> Lost;
+    std::map<std::uint64_t, GivenUp> Lost;
   };
 
   void begin(LeasedJobRequest Request, std::vector<Caller> Callers,
--- a/entry/lease_coordinator_watch.cpp
+++ b/entry/lease_coordinator_watch.cpp
@@ -209,21 +209,21 @@
                                    const std::set<std::uint64_t> &Held,
                                    Instant Now) {
   const std::string &Agent = Worker.Agent.Node;
-  std::map<std::string, std::vector<std::uint64_t>> Abandoned;
+  std::map<std::string, std::vector<std::uint64_t>> GivenUp;
   // Its stop may have been lost.
   for (const auto &[Id, Known] : this->Jobs)
     for (const Task &Which : Known->Tasks)
       if (Known->Phase != JobPhase::Running && Which.Phase == TaskPhase::Sent &&
           Which.Agent == Agent && Held.contains(Which.Order))
-        Abandoned[Id].push_back(Which.Order);
+        GivenUp[Id].push_back(Which.Order);
   std::erase_if(this->Contacts[Agent].Lost, [&](const auto &Item) {
     const auto &[Order, Lost] = Item;
     if (Held.contains(Order))
-      Abandoned[Lost.Job].push_back(Order);
+      GivenUp[Lost.Job].push_back(Order);
     bool MayArrive = Now.Steady - Lost.PlacedAt <= this->Options.InTransit;
     return !Held.contains(Order) && !MayArrive;
   });
-  for (const auto &[Id, Orders] : Abandoned) {
+  for (const auto &[Id, Orders] : GivenUp) {
     this->Log.decision(
         "given_up_stopped",
         {{"job", Id}, {"agent", Agent}, {"placements", Orders.size()}});
--- a/entry/table_lease.cpp
+++ b/entry/table_lease.cpp
@@ -19,24 +19,24 @@
 }
 
 void TableLease::confirm(TimePoint Asked) {
-  this->Confirmed.store(std::max(this->Confirmed.load(), Asked));
+  this->LastConfirmed.store(std::max(this->LastConfirmed.load(), Asked));
 }
 
-bool TableLease::isSearched(TimePoint Now) const {
+bool TableLease::isLeaderUnreachable(TimePoint Now) const {
   // That one replica refuses or is silent says nothing of the others: an old
   // table was served for 7 s while the larger half of control took changes.
-  TimePoint Since = this->Searched.load();
+  TimePoint Since = this->NoLeaderSince.load();
   return Since != TimePoint::min() && Now - Since <= this->Options.MaxAge;
 }
 
-void TableLease::hear(std::uint64_t Revision) {
-  this->Heard.store(std::max(this->Heard.load(), Revision));
+void TableLease::onPeerRevision(std::uint64_t Revision) {
+  this->NewestRevision.store(std::max(this->NewestRevision.load(), Revision));
 }
 
-TableStanding TableLease::standing(TimePoint Now, TimePoint LastIdle) const {
-  TableStanding Result;
-  Result.NewerKnown = this->Heard.load() > this->Held.load();
-  TimePoint Last = this->Confirmed.load();
+TableStatus TableLease::status(TimePoint Now, TimePoint LastIdle) const {
+  TableStatus Result;
+  Result.NewerKnown = this->NewestRevision.load() > this->HeldRevision.load();
+  TimePoint Last = this->LastConfirmed.load();
   if (Last == TimePoint::min())
     return Result;
   auto Age = std::chrono::duration_cast<std::chrono::milliseconds>(Now - Last);
@@ -45,9 +45,9 @@
   if (Age <= this->Options.MaxAge)
     Result.State = TableState::Current;
   else if (!Result.NewerKnown &&
-           keepsUp(Now, this->Watched.load(), LastIdle,
-                   this->Options.LongSpell) &&
-           this->isSearched(Now))
+           keepsUp(Now, this->LastTick.load(), LastIdle,
+                   this->Options.MaxInputStall) &&
+           this->isLeaderUnreachable(Now))
     Result.State = TableState::Unreachable;
   return Result;
 }
--- a/entry/table_lease.h
+++ b/entry/table_lease.h
@@ -32,7 +32,7 @@
 /// For logs.
 const char *tableStateName(TableState State);
 
-struct TableStanding {
+struct TableStatus {
   TableState State = TableState::Unknown;
   /// Since the table was last known to be the newest; nothing if it never was.
   std::optional<std::chrono::milliseconds> Age;
@@ -48,7 +48,7 @@
   std::chrono::milliseconds MaxAge{1750};
   /// After this long without reading all of its input, news may lie here
   /// unread. A busy entry has many shorter spells.
-  std::chrono::milliseconds LongSpell{500};
+  std::chrono::milliseconds MaxInputStall{500};
 };
 
 /// The loop's thread writes; any thread reads.
@@ -57,33 +57,35 @@
   explicit TableLease(TableLeaseOptions Options) : Options(Options) {}
 
   /// To be called often.
-  void watch(TimePoint Now) { this->Watched.store(Now); }
+  void tick(TimePoint Now) { this->LastTick.store(Now); }
   /// Each control replica was asked at \p Since or later whether this table is
   /// the newest, and none answered as leader; the least time if that cannot be
   /// said.
-  void search(TimePoint Since) { this->Searched.store(Since); }
+  void setNoLeaderSince(TimePoint Since) { this->NoLeaderSince.store(Since); }
   /// Control has answered a question: the table was the newest some time
   /// after the question was sent.
   void confirm(TimePoint Asked);
   /// The configuration held here is of this revision.
-  void hold(std::uint64_t Revision) { this->Held.store(Revision); }
+  void setHeldRevision(std::uint64_t Revision) {
+    this->HeldRevision.store(Revision);
+  }
   /// A peer has a revision in force.
-  void hear(std::uint64_t Revision);
+  void onPeerRevision(std::uint64_t Revision);
 
   /// To be read before the table: the table is then at least as new.
   /// \param LastIdle When this process last had read all of its input.
-  TableStanding standing(TimePoint Now, TimePoint LastIdle) const;
+  TableStatus status(TimePoint Now, TimePoint LastIdle) const;
 
 private:
   /// Whether all of control has been asked in vain of late.
-  bool isSearched(TimePoint Now) const;
+  bool isLeaderUnreachable(TimePoint Now) const;
 
   TableLeaseOptions Options;
-  std::atomic<TimePoint> Confirmed{TimePoint::min()};
-  std::atomic<TimePoint> Searched{TimePoint::min()};
-  std::atomic<TimePoint> Watched{TimePoint::min()};
-  std::atomic<std::uint64_t> Held{0};
-  std::atomic<std::uint64_t> Heard{0};
+  std::atomic<TimePoint> LastConfirmed{TimePoint::min()};
+  std::atomic<TimePoint> NoLeaderSince{TimePoint::min()};
+  std::atomic<TimePoint> LastTick{TimePoint::min()};
+  std::atomic<std::uint64_t> HeldRevision{0};
+  std::atomic<std::uint64_t> NewestRevision{0};
 };
 
 } // namespace yardwheel
--- a/main/lease_entry_process.cpp
+++ b/main/lease_entry_process.cpp
@@ -131,7 +131,7 @@
 
 void LeaseEntryProcess::tick(Instant Now) {
   this->publishMetrics(Now);
-  this->Table.watch(Now.Steady);
+  this->Table.tick(Now.Steady);
   this->Announce.tick(
       Now, {this->Node.loop().lastIdle(), this->Node.loop().lastBehind()});
   this->logTableState(Now);
@@ -147,7 +147,7 @@
   Facts.HasWorkers = this->Coordinator.hasWorkers();
   Facts.KeepsUp = this->Load.mayBeReady(Now.Steady, LastIdle);
   Facts.Draining = this->Draining.load();
-  Facts.Table = this->Table.standing(Now.Steady, LastIdle).State;
+  Facts.Table = this->Table.status(Now.Steady, LastIdle).State;
   bool Ready = this->ReadyRule.update(Facts, Now.Steady);
   if (Ready != this->Ready)
     this->Log.decision("readiness",
@@ -168,16 +168,16 @@
 }
 
 void LeaseEntryProcess::onSearched(TimePoint Since) {
-  this->Table.search(Since);
+  this->Table.setNoLeaderSince(Since);
 }
 
 void LeaseEntryProcess::onNewerRevision(std::uint64_t Revision) {
-  this->Table.hear(Revision);
+  this->Table.onPeerRevision(Revision);
 }
 
 void LeaseEntryProcess::logTableState(Instant Now) {
   TimePoint LastIdle = this->Node.loop().lastIdle();
-  TableStanding Standing = this->Table.standing(Now.Steady, LastIdle);
+  TableStatus Standing = this->Table.status(Now.Steady, LastIdle);
   if (Standing.State == this->LoggedTable)
     return;
   this->LoggedTable = Standing.State;
@@ -192,7 +192,7 @@
 }
 
 void LeaseEntryProcess::onCatalog(Instant) {
-  this->Table.hold(this->Catalog.revision());
+  this->Table.setHeldRevision(this->Catalog.revision());
   this->Node.links().setRevision(this->Catalog.revision());
   this->Log.decision(
       "configuration_in_force",
@@ -268,8 +268,8 @@
   Text += metricLine("yardwheel_jobs_in_flight", this->Coordinator.inFlight());
   Text += metricLine("yardwheel_route_table_version",
                      this->Catalog.view()->Routes.version());
-  TableStanding Table =
-      this->Table.standing(Now.Steady, this->Node.loop().lastIdle());
+  TableStatus Table =
+      this->Table.status(Now.Steady, this->Node.loop().lastIdle());
   if (Table.Age)
     Text += metricLine("yardwheel_route_table_age_ms", Table.Age->count());
   Text += this->Gate->describeRefusals();
--- a/tests/control/entry_table_test.cpp
+++ b/tests/control/entry_table_test.cpp
@@ -50,18 +50,20 @@
   }
 
   void onConfirmed(TimePoint Asked) override { this->Lease.confirm(Asked); }
-  void onSearched(TimePoint Since) override { this->Lease.search(Since); }
+  void onSearched(TimePoint Since) override {
+    this->Lease.setNoLeaderSince(Since);
+  }
   void onNewerRevision(std::uint64_t Revision) override {
-    this->Lease.hear(Revision);
+    this->Lease.onPeerRevision(Revision);
   }
   void onCatalog(Instant) override {
-    this->Lease.hold(this->Catalog.revision());
+    this->Lease.setHeldRevision(this->Catalog.revision());
   }
   void onMember(const peer::Member &, Instant) override {}
 
   TableState state() const {
     TimePoint Now = this->Cluster.World.now().Steady;
-    return this->Lease.standing(Now, Now).State;
+    return this->Lease.status(Now, Now).State;
   }
   std::uint64_t version() const {
     return this->Catalog.view()->Routes.version();
@@ -88,7 +90,7 @@
   }
   void tick() {
     Instant Now = this->Cluster.World.now();
-    this->Lease.watch(Now.Steady);
+    this->Lease.tick(Now.Steady);
     this->Announce.tick(Now);
   }
 
--- a/tests/entry/table_lease_test.cpp
+++ b/tests/entry/table_lease_test.cpp
@@ -14,12 +14,12 @@
 } // namespace
 
 TEST_GROUP(TableLeaseTest) {
-  TableLeaseOptions Options{.MaxAge = 1750ms, .LongSpell = 500ms};
+  TableLeaseOptions Options{.MaxAge = 1750ms, .MaxInputStall = 500ms};
   TableLease Lease{Options};
 
   void checkState(TableState Expected, TimePoint At, const char *Name) {
-    Lease.watch(At);
-    TableStanding Found = Lease.standing(At, At);
+    Lease.tick(At);
+    TableStatus Found = Lease.status(At, At);
     STRCMP_EQUAL_TEXT(tableStateName(Expected), tableStateName(Found.State),
                       Name);
   }
@@ -59,9 +59,9 @@
     TableLease Fresh(Options);
     Fresh.confirm(Now - Row.ConfirmedAgo);
     if (Row.SearchedAgo != Never)
-      Fresh.search(Now - Row.SearchedAgo);
-    Fresh.watch(Now - Row.WatchedAgo);
-    TableStanding Found = Fresh.standing(Now, Now - Row.IdleAgo);
+      Fresh.setNoLeaderSince(Now - Row.SearchedAgo);
+    Fresh.tick(Now - Row.WatchedAgo);
+    TableStatus Found = Fresh.status(Now, Now - Row.IdleAgo);
     STRCMP_EQUAL_TEXT(tableStateName(Row.Expected), tableStateName(Found.State),
                       Row.Name);
     LONGS_EQUAL_TEXT(Row.ConfirmedAgo.count(), Found.ageMillis(), Row.Name);
@@ -70,33 +70,33 @@
 
 TEST(TableLeaseTest, WithoutAnyConfirmationNothingIsKnown) {
   checkState(TableState::Unknown, Now, "just started");
-  Lease.search(Now - 1s);
+  Lease.setNoLeaderSince(Now - 1s);
   checkState(TableState::Unknown, Now, "asked in vain");
-  LONGS_EQUAL(-1, Lease.standing(Now, Now).ageMillis());
+  LONGS_EQUAL(-1, Lease.status(Now, Now).ageMillis());
 }
 
 // What was found before counts no longer once it is taken back.
 TEST(TableLeaseTest, ASearchThatHasNotEndedProvesNothing) {
   Lease.confirm(Now - 8s);
-  Lease.search(Now - 1s);
+  Lease.setNoLeaderSince(Now - 1s);
   checkState(TableState::Unreachable, Now, "all asked");
-  Lease.search(TimePoint::min());
+  Lease.setNoLeaderSince(TimePoint::min());
   checkState(TableState::Unknown, Now, "asked anew");
   Lease.confirm(Now - 100ms);
   checkState(TableState::Current, Now, "answered");
 }
 
 TEST(TableLeaseTest, ATableThatIsKnownToBeOldIsNotServedOn) {
-  Lease.hold(5);
+  Lease.setHeldRevision(5);
   Lease.confirm(Now - 3s);
-  Lease.search(Now - 1s);
-  Lease.hear(5);
+  Lease.setNoLeaderSince(Now - 1s);
+  Lease.onPeerRevision(5);
   checkState(TableState::Unreachable, Now, "the same revision");
-  Lease.hear(6);
-  Lease.hear(4);
+  Lease.onPeerRevision(6);
+  Lease.onPeerRevision(4);
   checkState(TableState::Unknown, Now, "a newer one");
-  CHECK(Lease.standing(Now, Now).NewerKnown);
-  Lease.hold(6);
+  CHECK(Lease.status(Now, Now).NewerKnown);
+  Lease.setHeldRevision(6);
   checkState(TableState::Unreachable, Now, "it has come");
 }
 
--- a/tests/platform/entry_gate_callers_test.cpp
+++ b/tests/platform/entry_gate_callers_test.cpp
@@ -71,7 +71,7 @@
     Route->set_aim_ms(60000);
     Route->set_max_attempts(1);
     CHECK(Catalog.merge(Update));
-    Table.hold(1);
+    Table.setHeldRevision(1);
     Table.confirm(Source.now().Steady);
     Gate.connect(Loop, Coordinator);
     Loop.start();
--- a/tests/platform/entry_gate_test.cpp
+++ b/tests/platform/entry_gate_test.cpp
@@ -88,7 +88,7 @@
     Route->set_max_attempts(1);
     Route->set_stretch(1.6);
     this->Catalog.merge(Update);
-    this->Table.hold(5);
+    this->Table.setHeldRevision(5);
     this->Gate.connect(this->Loop, this->Coordinator);
   }
   ~GateBench() { this->Loop.stop(); }
@@ -100,13 +100,13 @@
   /// News may lie unread, or be missing.
   void makeUnknown() {
     this->Table.confirm(this->ago(3000ms));
-    this->Table.watch(this->ago(0ms));
+    this->Table.tick(this->ago(0ms));
   }
   /// All of control has been asked in vain.
   void makeUnreachable() {
     this->Table.confirm(this->ago(3000ms));
-    this->Table.watch(this->ago(0ms));
-    this->Table.search(this->ago(1000ms));
+    this->Table.tick(this->ago(0ms));
+    this->Table.setNoLeaderSince(this->ago(1000ms));
   }
   /// Room for a job of one task, of an agent that has been heard.
   void addAgent() {
--- a/tests/platform/late_request_test.cpp
+++ b/tests/platform/late_request_test.cpp
@@ -92,7 +92,7 @@
     Route->set_aim_ms(3000);
     Route->set_max_attempts(1);
     CHECK(Catalog.merge(Update));
-    Table.hold(1);
+    Table.setHeldRevision(1);
     Gate.connect(Loop, Coordinator);
     Loop.start();
   }
--- a/tests/transport/suspension_test.cpp
+++ b/tests/transport/suspension_test.cpp
@@ -81,14 +81,14 @@
     TableLeaseOptions Options;
     TableLease Table(Options);
     TimePoint Before = Source.now().Steady;
-    Table.watch(Before);
+    Table.tick(Before);
     Table.confirm(Before);
     suspendHost(Length);
     TimePoint Now = Source.now().Steady;
     TableState Expected =
         Length < Options.MaxAge ? TableState::Current : TableState::Unknown;
     STRCMP_EQUAL(tableStateName(Expected),
-                 tableStateName(Table.standing(Now, Now).State));
+                 tableStateName(Table.status(Now, Now).State));
   }
 }
 
