--- a/bench/overload_main.cpp
+++ b/bench/overload_main.cpp
@@ -54,16 +54,16 @@
      [](MixedLoadOptions &O) { O.World.Coordinator.MaxBounces = 0; }},
     {"shed 0.15 earlier",
      [](MixedLoadOptions &O) {
-       O.World.Coordinator.Shedder.LowestLimit -= 0.15;
+       O.World.Coordinator.Shedder.BusiestRouteLimit -= 0.15;
      }},
     {"shed 0.2 later",
      [](MixedLoadOptions &O) {
-       O.World.Coordinator.Shedder.LowestLimit += 0.2;
+       O.World.Coordinator.Shedder.BusiestRouteLimit += 0.2;
      }},
     {"no shedding",
      [](MixedLoadOptions &O) {
-       O.World.Coordinator.Shedder.LowestLimit = 1000;
-       O.World.Coordinator.Shedder.HighestLimit = 1000;
+       O.World.Coordinator.Shedder.BusiestRouteLimit = 1000;
+       O.World.Coordinator.Shedder.MaxRouteLimit = 1000;
      }},
 };
 
--- a/entry/drain_watch.cpp
+++ b/entry/drain_watch.cpp
@@ -4,13 +4,13 @@
 
 bool DrainWatch::isOver(std::uint64_t Submissions, std::size_t InFlight,
                         TimePoint Now) {
-  if (Submissions != this->Seen || InFlight > 0)
+  if (Submissions != this->LastSubmissions || InFlight > 0)
     this->LastBusy = Now;
-  this->Seen = Submissions;
-  if (Now >= this->Start + this->Options.Longest)
+  this->LastSubmissions = Submissions;
+  if (Now >= this->Start + this->Options.MaxDrain)
     return true;
-  bool Noticed = Now >= this->Start + this->Options.BalancerNotice;
-  return Noticed && Now >= this->LastBusy + this->Options.Quiet;
+  bool Noticed = Now >= this->Start + this->Options.BalancerNoticeTime;
+  return Noticed && Now >= this->LastBusy + this->Options.QuietPeriod;
 }
 
 } // namespace yardwheel
--- a/entry/drain_watch.h
+++ b/entry/drain_watch.h
@@ -17,12 +17,12 @@
 struct DrainOptions {
   /// How long the balancer may still send new connections here: it takes two
   /// checks, a second apart, to see that this process is not ready.
-  std::chrono::milliseconds BalancerNotice{2200};
+  std::chrono::milliseconds BalancerNoticeTime{2200};
   /// How long nothing must have been submitted or in flight after that. Busy
   /// callers submit several times as often.
-  std::chrono::milliseconds Quiet{400};
+  std::chrono::milliseconds QuietPeriod{400};
   /// Callers that stay are served for this long.
-  std::chrono::milliseconds Longest{4000};
+  std::chrono::milliseconds MaxDrain{4000};
 };
 
 class DrainWatch {
@@ -39,7 +39,7 @@
   DrainOptions Options;
   TimePoint Start;
   TimePoint LastBusy;
-  std::uint64_t Seen = 0;
+  std::uint64_t LastSubmissions = 0;
 };
 
 } // namespace yardwheel
--- a/entry/ended_jobs.h
+++ b/entry/ended_jobs.h
@@ -23,14 +23,15 @@
 class EndedJobs {
 public:
   /// Keeps a key until \p Forget. Calls come in about the order of that time.
-  void add(const std::string &Key, std::uint64_t Fingerprint, TimePoint Forget);
+  void add(const std::string &Key, std::uint64_t Fingerprint,
+           TimePoint ForgetAt);
   /// The content's hash, if the key is known.
   std::optional<std::uint64_t> find(const std::string &Key) const;
   void expire(TimePoint Now);
-  std::size_t size() const { return this->Known.size(); }
+  std::size_t size() const { return this->Fingerprints.size(); }
 
 private:
-  std::unordered_map<std::string, std::uint64_t> Known;
+  std::unordered_map<std::string, std::uint64_t> Fingerprints;
   std::deque<std::pair<TimePoint, std::string>> Order;
 };
 
--- a/entry/load_shedder.h
+++ b/entry/load_shedder.h
@@ -24,20 +24,20 @@
   /// Taken room, running or waiting, over all room, at which the route with
   /// the most work is shed. Just above 1: a little waits while the rest of
   /// the room is handed on.
-  double LowestLimit = 1.3;
+  double BusiestRouteLimit = 1.3;
   /// What that limit falls to while the workers stay full: a queue that lasts
   /// makes all jobs wait and none sooner done. Just above 1, where the room is
   /// always in use. With 70 workers at 1.08 times their room jobs earned 0.910
   /// of their credit in place of 0.875 (virtual time).
-  double StandingLimit = 1.1;
+  double SustainedLimit = 1.1;
   /// Time over which the share of taken room is averaged to tell a queue that
   /// lasts from a burst, which is worth waiting out.
-  std::chrono::milliseconds StandingMemory{1500};
+  std::chrono::milliseconds PressureWindow{1500};
   /// The same for a route with hardly any work.
-  double HighestLimit = 2.2;
+  double MaxRouteLimit = 2.2;
   /// Time over which a route's work is averaged; longer than a burst, which
   /// must not make its own route the first to be shed.
-  std::chrono::milliseconds Memory{20000};
+  std::chrono::milliseconds LoadWindow{20000};
 };
 
 class LoadShedder {
@@ -54,19 +54,19 @@
   double limitFor(const std::string &Route, TimePoint Now) const;
 
 private:
-  struct Offered {
+  struct RouteLoad {
     double CoreMillis = 0;
     TimePoint Updated;
   };
-  double loadOf(const Offered &Known, TimePoint Now) const;
+  double loadOf(const RouteLoad &Known, TimePoint Now) const;
 
   /// The limit of the route with the most work.
-  double lowestLimit() const;
+  double busiestRouteLimit() const;
 
   ShedderOptions Options;
-  double StandingPressure = 0;
+  double AveragePressure = 0;
   TimePoint PressureSeen;
-  std::map<std::string, Offered> Routes;
+  std::map<std::string, RouteLoad> Routes;
 };
 
 } // namespace yardwheel
--- a/entry/readiness.cpp
+++ b/entry/readiness.cpp
@@ -3,19 +3,19 @@
 namespace yardwheel {
 
 bool Readiness::update(const ReadinessFacts &Facts, TimePoint Now) {
-  bool LacksTable = this->lacksTable(Facts.Table, Now);
+  bool LacksTable = this->isTableUnknownTooLong(Facts.Table, Now);
   return Facts.HasRoutes && Facts.HasWorkers && Facts.KeepsUp &&
          !Facts.Draining && !LacksTable;
 }
 
-bool Readiness::lacksTable(TableState Table, TimePoint Now) {
+bool Readiness::isTableUnknownTooLong(TableState Table, TimePoint Now) {
   if (Table != TableState::Unknown) {
     this->UnknownSince.reset();
     return false;
   }
   if (!this->UnknownSince)
     this->UnknownSince = Now;
-  return Now - *this->UnknownSince >= this->Options.UnknownTable;
+  return Now - *this->UnknownSince >= this->Options.MaxUnknownTable;
 }
 
 } // namespace yardwheel
--- a/entry/readiness.h
+++ b/entry/readiness.h
@@ -33,7 +33,7 @@
 struct ReadinessOptions {
   /// For how long the table may be unknown: as long as the balancer takes from
   /// one question to the next.
-  std::chrono::milliseconds UnknownTable{1000};
+  std::chrono::milliseconds MaxUnknownTable{1000};
 };
 
 class Readiness {
@@ -45,7 +45,7 @@
 
 private:
   /// Whether all jobs have been refused for a while, as the table may be old.
-  bool lacksTable(TableState Table, TimePoint Now);
+  bool isTableUnknownTooLong(TableState Table, TimePoint Now);
 
   ReadinessOptions Options;
   std::optional<TimePoint> UnknownSince;
--- a/entry/recent_ids.cpp
+++ b/entry/recent_ids.cpp
@@ -4,17 +4,17 @@
 
 void RecentIds::add(const std::string &Id, TimePoint Now) {
   std::lock_guard Lock(this->Mutex);
-  if (Now - this->Begun > this->KeepFor) {
-    std::swap(this->Last, this->Present);
-    this->Present.clear();
-    this->Begun = Now;
+  if (Now - this->CurrentStart > this->Retention) {
+    std::swap(this->Previous, this->Current);
+    this->Current.clear();
+    this->CurrentStart = Now;
   }
-  this->Present.insert(Id);
+  this->Current.insert(Id);
 }
 
 bool RecentIds::contains(const std::string &Id) const {
   std::lock_guard Lock(this->Mutex);
-  return this->Present.contains(Id) || this->Last.contains(Id);
+  return this->Current.contains(Id) || this->Previous.contains(Id);
 }
 
 } // namespace yardwheel
--- a/entry/recent_ids.h
+++ b/entry/recent_ids.h
@@ -19,19 +19,20 @@
 /// For any thread.
 class RecentIds {
 public:
-  /// \param KeepFor How long an id is remembered, at least.
-  explicit RecentIds(std::chrono::milliseconds KeepFor) : KeepFor(KeepFor) {}
+  /// \param Retention How long an id is remembered, at least.
+  explicit RecentIds(std::chrono::milliseconds Retention)
+      : Retention(Retention) {}
 
   void add(const std::string &Id, TimePoint Now);
   bool contains(const std::string &Id) const;
 
 private:
-  std::chrono::milliseconds KeepFor;
+  std::chrono::milliseconds Retention;
   mutable std::mutex Mutex;
   /// Two spans of time: what is older than both is forgotten at once.
-  std::unordered_set<std::string> Present;
-  std::unordered_set<std::string> Last;
-  TimePoint Begun;
+  std::unordered_set<std::string> Current;
+  std::unordered_set<std::string> Previous;
+  TimePoint CurrentStart;
 };
 
 } // namespace yardwheel
--- a/entry/self_load.cpp
+++ b/entry/self_load.cpp
@@ -5,16 +5,17 @@
 namespace yardwheel {
 
 bool SelfLoad::mayBeReady(TimePoint Now, TimePoint LastIdle) {
-  bool Away = Now < this->AwayUntil;
+  bool NotReady = Now < this->NotReadyUntil;
   if (!this->isOverloaded(Now, LastIdle))
-    return !Away;
-  if (Away)
+    return !NotReady;
+  if (NotReady)
     return false;
   // Soon after the last time, the pause was too short.
-  bool Again = this->Pause.count() > 0 && Now - this->AwayUntil < this->Pause;
-  this->Pause = Again ? std::min(2 * this->Pause, this->Options.MaxPause)
-                      : this->Options.FirstPause;
-  this->AwayUntil = Now + this->Pause;
+  bool TooSoon =
+      this->Pause.count() > 0 && Now - this->NotReadyUntil < this->Pause;
+  this->Pause = TooSoon ? std::min(2 * this->Pause, this->Options.MaxPause)
+                        : this->Options.MinPause;
+  this->NotReadyUntil = Now + this->Pause;
   return false;
 }
 
--- a/entry/self_load.h
+++ b/entry/self_load.h
@@ -26,13 +26,13 @@
   std::chrono::milliseconds RefuseAfter{150};
   /// The same for the balancer: callers are sent elsewhere for a while. The
   /// balancer needs seconds to notice, so shorter spells are no reason.
-  std::chrono::milliseconds LeaveAfter{500};
+  std::chrono::milliseconds NotReadyAfter{500};
   /// How long callers are sent elsewhere; doubles if it was too short.
-  std::chrono::milliseconds FirstPause{2000};
+  std::chrono::milliseconds MinPause{2000};
   std::chrono::milliseconds MaxPause{8000};
   /// After this process was behind, for how long requests may be read that
   /// have waited until their callers went.
-  std::chrono::milliseconds ReadsLateFor{3000};
+  std::chrono::milliseconds LateReadPeriod{3000};
 };
 
 class SelfLoad {
@@ -48,14 +48,15 @@
   /// Whether the balancer should send callers elsewhere at once; for any
   /// thread, as the loop itself may not come to it.
   bool isOverloaded(TimePoint Now, TimePoint LastIdle) const {
-    return this->Options.Enabled && Now - LastIdle > this->Options.LeaveAfter;
+    return this->Options.Enabled &&
+           Now - LastIdle > this->Options.NotReadyAfter;
   }
 
   /// Whether a request read now may have waited here for long; for any thread.
   /// \param LastBehind Until when this process did not keep up with its input.
-  bool mayReadLate(TimePoint Now, TimePoint LastBehind) const {
+  bool mayReadStale(TimePoint Now, TimePoint LastBehind) const {
     return this->Options.Enabled && LastBehind != TimePoint::min() &&
-           Now - LastBehind < this->Options.ReadsLateFor;
+           Now - LastBehind < this->Options.LateReadPeriod;
   }
 
   /// On the loop's thread, at each tick. \returns whether callers should be
@@ -64,7 +65,7 @@
 
 private:
   SelfLoadOptions Options;
-  TimePoint AwayUntil = TimePoint::min();
+  TimePoint NotReadyUntil = TimePoint::min();
   std::chrono::milliseconds Pause{};
 };
 
--- a/main/lease_entry_process.cpp
+++ b/main/lease_entry_process.cpp
@@ -223,7 +223,7 @@
   // Callers use open connections on, so jobs are taken for a while. Where all
   // have gone elsewhere, the sooner this process is back the better.
   DrainOptions Options;
-  Options.Longest = Serve;
+  Options.MaxDrain = Serve;
   DrainWatch Watch(Options, this->Source.now().Steady);
   waitUntil(Serve, [&] {
     return Watch.isOver(this->Gate->submissions(), this->InFlight.load(),
--- a/tests/entry/load_shedder_test.cpp
+++ b/tests/entry/load_shedder_test.cpp
@@ -39,9 +39,9 @@
 
 TEST(LoadShedderTest, ALimitOfTheWholeRoomSwitchesThatOff) {
   ShedderOptions Options;
-  Options.StandingLimit = 1;
+  Options.SustainedLimit = 1;
   Shedder = LoadShedder(Options);
   hold(2, 10000ms);
   Shedder.onOffered("r", 100, Now);
-  DOUBLES_EQUAL(Options.LowestLimit, Shedder.limitFor("r", Now), 0.001);
+  DOUBLES_EQUAL(Options.BusiestRouteLimit, Shedder.limitFor("r", Now), 0.001);
 }
--- a/tests/entry/self_load_test.cpp
+++ b/tests/entry/self_load_test.cpp
@@ -60,7 +60,7 @@
                       {Now - 2900ms, true},
                       {Now - 3000ms, false}};
   for (const Row &Row : Rows)
-    CHECK(Load.mayReadLate(Now, Row.LastBehind) == Row.MayRead);
+    CHECK(Load.mayReadStale(Now, Row.LastBehind) == Row.MayRead);
 }
 
 TEST(SelfLoadTest, SwitchedOffItNeverRefuses) {
