--- a/dispatch/bucket_index.cpp
+++ b/dispatch/bucket_index.cpp
@@ -6,14 +6,15 @@
 
 void BucketIndex::put(UpstreamIndex Upstream, int Key) {
   auto Bucket = static_cast<std::size_t>(std::max(Key, 0));
-  if (Upstream < this->Places.size() && this->Places[Upstream].Bucket == Bucket)
+  if (Upstream < this->Locations.size() &&
+      this->Locations[Upstream].Bucket == Bucket)
     return;
   this->remove(Upstream);
-  if (Upstream >= this->Places.size())
-    this->Places.resize(Upstream + 1);
+  if (Upstream >= this->Locations.size())
+    this->Locations.resize(Upstream + 1);
   if (Bucket >= this->Buckets.size())
     this->Buckets.resize(Bucket + 1);
-  this->Places[Upstream] = {Bucket, this->Buckets[Bucket].size()};
+  this->Locations[Upstream] = {Bucket, this->Buckets[Bucket].size()};
   this->Buckets[Bucket].push_back(Upstream);
   this->Top = std::max(this->Top, Bucket);
 }
@@ -21,11 +22,11 @@
 void BucketIndex::remove(UpstreamIndex Upstream) {
   if (!this->contains(Upstream))
     return;
-  Place &Old = this->Places[Upstream];
+  Location &Old = this->Locations[Upstream];
   std::vector<UpstreamIndex> &Bucket = this->Buckets[Old.Bucket];
   UpstreamIndex Last = Bucket.back();
   Bucket[Old.Position] = Last;
-  this->Places[Last].Position = Old.Position;
+  this->Locations[Last].Position = Old.Position;
   Bucket.pop_back();
   Old.Bucket = Absent;
   while (this->Top > 0 && this->Buckets[this->Top].empty())
@@ -41,8 +42,8 @@
 }
 
 bool BucketIndex::contains(UpstreamIndex Upstream) const {
-  return Upstream < this->Places.size() &&
-         this->Places[Upstream].Bucket != Absent;
+  return Upstream < this->Locations.size() &&
+         this->Locations[Upstream].Bucket != Absent;
 }
 
 } // namespace yardwheel
--- a/dispatch/bucket_index.h
+++ b/dispatch/bucket_index.h
@@ -34,13 +34,13 @@
 private:
   static constexpr std::size_t Absent = SIZE_MAX;
 
-  struct Place {
+  struct Location {
     std::size_t Bucket = Absent;
     std::size_t Position = 0;
   };
 
   std::vector<std::vector<UpstreamIndex>> Buckets;
-  std::vector<Place> Places;
+  std::vector<Location> Locations;
   /// No bucket above this one holds anything.
   std::size_t Top = 0;
 };
--- a/dispatch/fair_queue.cpp
+++ b/dispatch/fair_queue.cpp
@@ -4,25 +4,25 @@
 
 namespace yardwheel {
 
-bool FairQueue::isReady(const Line &Target) {
-  return Target.Waiting > 0 && Target.Out < Target.Capacity;
+bool FairQueue::isReady(const WorkspaceQueue &Target) {
+  return Target.Waiting > 0 && Target.InFlight < Target.Capacity;
 }
 
 template <typename Edit>
-void FairQueue::edit(const std::string &Workspace, Edit Change) {
-  auto Place = this->All.try_emplace(Workspace).first;
-  Line &Target = Place->second;
+void FairQueue::modify(const std::string &Workspace, Edit Change) {
+  auto Place = this->Queues.try_emplace(Workspace).first;
+  WorkspaceQueue &Target = Place->second;
   // The order must not change under the set's feet.
   if (isReady(Target))
-    this->Ready.erase(&*Place);
+    this->ReadyQueues.erase(&*Place);
   Change(Target);
   if (isReady(Target))
-    this->Ready.insert(&*Place);
+    this->ReadyQueues.insert(&*Place);
 }
 
 void FairQueue::configure(const std::string &Workspace, std::uint32_t Weight,
                           std::uint32_t Capacity) {
-  this->edit(Workspace, [&](Line &Target) {
+  this->modify(Workspace, [&](WorkspaceQueue &Target) {
     Target.Weight = std::max(Weight, 1U);
     Target.Capacity = std::max(Capacity, 1U);
   });
@@ -30,7 +30,7 @@
 
 void FairQueue::push(const std::string &Workspace, JobRank Rank, JobNumber Job,
                      std::uint32_t Index) {
-  this->edit(Workspace, [&](Line &Target) {
+  this->modify(Workspace, [&](WorkspaceQueue &Target) {
     // A workspace that was idle has saved nothing up.
     if (Target.Waiting == 0)
       Target.VirtualStart = std::max(Target.VirtualStart, this->VirtualTime);
@@ -42,7 +42,7 @@
 
 void FairQueue::removeJob(const std::string &Workspace, JobRank Rank,
                           JobNumber Job) {
-  this->edit(Workspace, [&](Line &Target) {
+  this->modify(Workspace, [&](WorkspaceQueue &Target) {
     auto Found = Target.Jobs.find({Rank, Job});
     if (Found == Target.Jobs.end())
       return;
@@ -53,43 +53,43 @@
 }
 
 std::optional<WaitingTask> FairQueue::front() const {
-  if (this->Ready.empty())
+  if (this->ReadyQueues.empty())
     return std::nullopt;
-  const auto &[Workspace, Target] = **this->Ready.begin();
+  const auto &[Workspace, Target] = **this->ReadyQueues.begin();
   const auto &[Job, Tasks] = *Target.Jobs.begin();
   return WaitingTask{Workspace, Job.first, Job.second, Tasks.front()};
 }
 
 void FairQueue::pop() {
-  if (this->Ready.empty())
+  if (this->ReadyQueues.empty())
     return;
-  const std::string &Workspace = (*this->Ready.begin())->first;
-  this->edit(Workspace, [&](Line &Target) {
+  const std::string &Workspace = (*this->ReadyQueues.begin())->first;
+  this->modify(Workspace, [&](WorkspaceQueue &Target) {
     auto First = Target.Jobs.begin();
     First->second.pop_front();
     if (First->second.empty())
       Target.Jobs.erase(First);
     --Target.Waiting;
-    ++Target.Out;
+    ++Target.InFlight;
     this->VirtualTime = std::max(this->VirtualTime, Target.VirtualStart);
     Target.VirtualStart += 1.0 / Target.Weight;
   });
   --this->Total;
-  ++this->TotalOut;
+  ++this->TotalInFlight;
 }
 
 void FairQueue::onSettled(const std::string &Workspace) {
-  this->edit(Workspace, [&](Line &Target) {
-    if (Target.Out == 0)
+  this->modify(Workspace, [&](WorkspaceQueue &Target) {
+    if (Target.InFlight == 0)
       return;
-    --Target.Out;
-    --this->TotalOut;
+    --Target.InFlight;
+    --this->TotalInFlight;
   });
 }
 
 std::size_t FairQueue::waiting(const std::string &Workspace) const {
-  auto Found = this->All.find(Workspace);
-  return Found == this->All.end() ? 0 : Found->second.Waiting;
+  auto Found = this->Queues.find(Workspace);
+  return Found == this->Queues.end() ? 0 : Found->second.Waiting;
 }
 
 } // namespace yardwheel
--- a/dispatch/fair_queue.h
+++ b/dispatch/fair_queue.h
@@ -61,38 +61,39 @@
   std::size_t waiting(const std::string &Workspace) const;
   std::size_t waiting() const { return this->Total; }
   /// Tasks that are out, over all workspaces.
-  std::size_t out() const { return this->TotalOut; }
+  std::size_t inFlight() const { return this->TotalInFlight; }
 
 private:
-  struct Line {
+  struct WorkspaceQueue {
     std::uint32_t Weight = 1;
     std::uint32_t Capacity = UINT32_MAX;
-    std::uint32_t Out = 0;
+    std::uint32_t InFlight = 0;
     std::size_t Waiting = 0;
     double VirtualStart = 0;
     std::map<std::pair<JobRank, JobNumber>, std::deque<std::uint32_t>> Jobs;
   };
 
-  using Lines = std::map<std::string, Line>;
+  using WorkspaceQueues = std::map<std::string, WorkspaceQueue>;
   struct ReadyOrder {
-    bool operator()(const Lines::value_type *A,
-                    const Lines::value_type *B) const {
+    bool operator()(const WorkspaceQueues::value_type *A,
+                    const WorkspaceQueues::value_type *B) const {
       return std::tie(A->second.VirtualStart, A->first) <
              std::tie(B->second.VirtualStart, B->first);
     }
   };
 
   /// Changes a line; its place among the ready ones follows.
-  template <typename Edit> void edit(const std::string &Workspace, Edit Change);
-  static bool isReady(const Line &Target);
+  template <typename Edit>
+  void modify(const std::string &Workspace, Edit Change);
+  static bool isReady(const WorkspaceQueue &Target);
 
-  Lines All;
+  WorkspaceQueues Queues;
   /// Lines that wait and are under their capacity, the next one first, so
   /// that the choice does not look at every workspace.
-  std::set<const Lines::value_type *, ReadyOrder> Ready;
+  std::set<const WorkspaceQueues::value_type *, ReadyOrder> ReadyQueues;
   double VirtualTime = 0;
   std::size_t Total = 0;
-  std::size_t TotalOut = 0;
+  std::size_t TotalInFlight = 0;
 };
 
 } // namespace yardwheel
--- a/dispatch/late_binding_policy.cpp
+++ b/dispatch/late_binding_policy.cpp
@@ -6,7 +6,7 @@
 
 /// Tasks that wait at an agent beyond its slots, so that a slot that falls
 /// free there is taken without a message's delay.
-constexpr std::uint32_t QueueAhead = 2;
+constexpr std::uint32_t MaxQueuedAtAgent = 2;
 
 } // namespace
 
@@ -15,7 +15,7 @@
   std::optional<UpstreamIndex> Free = Table.byTotalFree().pickBest(Random);
   if (Free)
     return Free;
-  return Table.shortestQueue(QueueAhead, Random);
+  return Table.shortestQueue(MaxQueuedAtAgent, Random);
 }
 
 } // namespace yardwheel
--- a/dispatch/load_forecast.cpp
+++ b/dispatch/load_forecast.cpp
@@ -7,53 +7,55 @@
 
 void LoadForecast::onReport(double Share, TimePoint Now) {
   std::chrono::duration<double> Age = Now - this->LastReport;
-  std::chrono::duration<double> Memory = this->Options.PoolMemory;
-  double Kept = std::exp(-Age / Memory);
-  this->Reports = Kept * this->Reports + 1;
-  this->Shares = Kept * this->Shares + Share;
-  this->Squares = Kept * this->Squares + Share * Share;
+  std::chrono::duration<double> Window = this->Options.PoolWindow;
+  double Weight = std::exp(-Age / Window);
+  this->ReportWeight = Weight * this->ReportWeight + 1;
+  this->ShareSum = Weight * this->ShareSum + Share;
+  this->ShareSquareSum = Weight * this->ShareSquareSum + Share * Share;
   this->LastReport = Now;
 }
 
 void LoadForecast::onTaskEnded(std::chrono::milliseconds Ran) {
   double Length = std::chrono::duration<double>(Ran).count();
-  double Kept = this->Options.KeptPerTask;
-  this->Lengths = Kept * this->Lengths + Length;
-  this->LengthSquares = Kept * this->LengthSquares + Length * Length;
+  double Weight = this->Options.WeightKeptPerTask;
+  this->RunTimeSum = Weight * this->RunTimeSum + Length;
+  this->RunTimeSquareSum = Weight * this->RunTimeSquareSum + Length * Length;
 }
 
 double LoadForecast::poolMean() const {
-  return this->Reports > 0 ? this->Shares / this->Reports : 0;
+  return this->ReportWeight > 0 ? this->ShareSum / this->ReportWeight : 0;
 }
 
 double LoadForecast::poolDeviation() const {
-  if (this->Reports <= 0)
+  if (this->ReportWeight <= 0)
     return 0;
   double Mean = this->poolMean();
-  return std::sqrt(std::max(0.0, this->Squares / this->Reports - Mean * Mean));
+  return std::sqrt(
+      std::max(0.0, this->ShareSquareSum / this->ReportWeight - Mean * Mean));
 }
 
-std::chrono::duration<double> LoadForecast::memory() const {
-  if (this->Lengths <= 0)
-    return this->Options.FirstLength;
+std::chrono::duration<double> LoadForecast::timeConstant() const {
+  if (this->RunTimeSum <= 0)
+    return this->Options.InitialRunTime;
   // A long task holds its room for longer, and so is found there more often.
-  return std::chrono::duration<double>(this->LengthSquares / this->Lengths);
+  return std::chrono::duration<double>(this->RunTimeSquareSum /
+                                       this->RunTimeSum);
 }
 
-double LoadForecast::keptAfter(Duration Age) const {
-  return std::exp(-std::chrono::duration<double>(Age) / this->memory());
+double LoadForecast::weightAfter(Duration Age) const {
+  return std::exp(-std::chrono::duration<double>(Age) / this->timeConstant());
 }
 
 double LoadForecast::shareAt(double Share, Duration Age) const {
   double Mean = this->poolMean();
-  return Mean + (Share - Mean) * this->keptAfter(Age);
+  return Mean + (Share - Mean) * this->weightAfter(Age);
 }
 
 Forecast LoadForecast::at(double Share, Duration Age) const {
-  double Kept = this->keptAfter(Age);
+  double Weight = this->weightAfter(Age);
   double Mean = this->poolMean();
-  return {Mean + (Share - Mean) * Kept,
-          this->poolDeviation() * std::sqrt(1 - Kept * Kept)};
+  return {Mean + (Share - Mean) * Weight,
+          this->poolDeviation() * std::sqrt(1 - Weight * Weight)};
 }
 
 } // namespace yardwheel
--- a/dispatch/load_forecast.h
+++ b/dispatch/load_forecast.h
@@ -22,12 +22,12 @@
 struct ForecastOptions {
   /// Time over which the pool's mean and spread are taken. A mean of some tens
   /// of reports follows a burst within half a second.
-  std::chrono::milliseconds PoolMemory{500};
+  std::chrono::milliseconds PoolWindow{500};
   /// How long tasks last, until some have ended.
-  std::chrono::milliseconds FirstLength{200};
+  std::chrono::milliseconds InitialRunTime{200};
   /// What a task's length keeps of its weight with each later one, so that
   /// some hundred tasks count.
-  double KeptPerTask = 0.99;
+  double WeightKeptPerTask = 0.99;
 };
 
 /// Shares of a worker's room, which may be above 1 where tasks wait.
@@ -54,21 +54,21 @@
 
 private:
   /// What is left of a report by now.
-  double keptAfter(Duration Age) const;
+  double weightAfter(Duration Age) const;
   double poolMean() const;
   double poolDeviation() const;
   /// How long a unit of work that is under way lasts.
-  std::chrono::duration<double> memory() const;
+  std::chrono::duration<double> timeConstant() const;
 
   ForecastOptions Options;
   /// Reports, their shares and the squares of these, each by its weight.
-  double Reports = 0;
-  double Shares = 0;
-  double Squares = 0;
+  double ReportWeight = 0;
+  double ShareSum = 0;
+  double ShareSquareSum = 0;
   TimePoint LastReport;
   /// Lengths of tasks in seconds and their squares, each by its weight.
-  double Lengths = 0;
-  double LengthSquares = 0;
+  double RunTimeSum = 0;
+  double RunTimeSquareSum = 0;
 };
 
 } // namespace yardwheel
--- a/dispatch/packed_placement.cpp
+++ b/dispatch/packed_placement.cpp
@@ -17,11 +17,11 @@
 
 } // namespace
 
-bool PackedPlacement::giveAll(ShareCounter &Counter, std::size_t Targets,
-                              std::mt19937_64 &Random) {
+bool PackedPlacement::assignAll(ShareCounter &Counter, std::size_t Targets,
+                                std::mt19937_64 &Random) {
   std::vector<std::size_t> Fitting;
   for (std::size_t I = 0; I < Targets; ++I)
-    if (Counter.surelyStartsAt(I) >= Counter.left())
+    if (Counter.tasksSureToStart(I) >= Counter.remaining())
       Fitting.push_back(I);
   if (Fitting.empty())
     return false;
@@ -29,8 +29,8 @@
   // of each other is a message old.
   std::size_t One = pick(Fitting, Random);
   std::size_t Other = pick(Fitting, Random);
-  Counter.give(Counter.costAt(One) <= Counter.costAt(Other) ? One : Other,
-               Counter.left());
+  Counter.assign(Counter.costAt(One) <= Counter.costAt(Other) ? One : Other,
+                 Counter.remaining());
   return true;
 }
 
@@ -38,14 +38,14 @@
                                   std::mt19937_64 &Random) {
   std::uint32_t Most = 0;
   for (std::size_t I = 0; I < Targets; ++I)
-    Most = std::max(Most, Counter.surelyStartsAt(I));
+    Most = std::max(Most, Counter.tasksSureToStart(I));
   if (Most == 0)
     return false;
   std::vector<std::size_t> Largest;
   for (std::size_t I = 0; I < Targets; ++I)
-    if (Counter.surelyStartsAt(I) == Most)
+    if (Counter.tasksSureToStart(I) == Most)
       Largest.push_back(I);
-  Counter.give(pick(Largest, Random), Most);
+  Counter.assign(pick(Largest, Random), Most);
   return true;
 }
 
@@ -54,11 +54,11 @@
                         std::vector<PlacementTarget> Targets,
                         std::mt19937_64 &Random) const {
   ShareCounter Counter(Demand, Targets, Random);
-  while (Counter.left() > 0) {
-    bool Given = giveAll(Counter, Targets.size(), Random) ||
-                 fillLargest(Counter, Targets.size(), Random) ||
-                 Counter.giveToLeast();
-    if (!Given)
+  while (Counter.remaining() > 0) {
+    bool Assigned = assignAll(Counter, Targets.size(), Random) ||
+                    fillLargest(Counter, Targets.size(), Random) ||
+                    Counter.assignOneToCheapest();
+    if (!Assigned)
       break;
   }
   return Counter.shares();
--- a/dispatch/packed_placement.h
+++ b/dispatch/packed_placement.h
@@ -29,8 +29,8 @@
 private:
   /// Gives all that is left to one target that starts it at once, the better
   /// of two picked at random. \returns whether there is one.
-  static bool giveAll(ShareCounter &Counter, std::size_t Targets,
-                      std::mt19937_64 &Random);
+  static bool assignAll(ShareCounter &Counter, std::size_t Targets,
+                        std::mt19937_64 &Random);
   /// Fills the target that starts most tasks at once. \returns whether any
   /// starts one.
   static bool fillLargest(ShareCounter &Counter, std::size_t Targets,
--- a/dispatch/placement.h
+++ b/dispatch/placement.h
@@ -24,20 +24,20 @@
   std::size_t Worker = 0;
   /// Processor time in thousandths of a core: all that the worker has, and
   /// what is expected to run or wait there.
-  std::uint32_t RoomMilli = 0;
-  std::uint32_t TakenMilli = 0;
+  std::uint32_t CapacityMilliCores = 0;
+  std::uint32_t LoadMilliCores = 0;
   /// Most tasks of this job that it may get now.
-  std::uint32_t MostTasks = UINT32_MAX;
+  std::uint32_t MaxTasks = UINT32_MAX;
   /// Times as long that a task takes here, such as away from its data.
-  double Stretch = 1;
+  double RunTimeFactor = 1;
   /// The standard deviation of what is really taken around what is expected.
-  std::uint32_t DoubtMilli = 0;
+  std::uint32_t DeviationMilliCores = 0;
 };
 
 struct PlacementDemand {
   std::uint32_t Tasks = 0;
   /// Of each task, in thousandths of a core.
-  std::uint32_t CpuMilli = 0;
+  std::uint32_t CpuMilliCores = 0;
   /// Places only what would start at once, as far as is known.
   bool OnlyStartingNow = false;
 };
--- a/dispatch/retry_budget.cpp
+++ b/dispatch/retry_budget.cpp
@@ -6,13 +6,14 @@
 
 void RetryBudget::onFirstSend(std::uint32_t BudgetPercent) {
   constexpr double WholePercent = 100;
-  this->Saved = std::min(MaxSaved, this->Saved + BudgetPercent / WholePercent);
+  this->Balance =
+      std::min(MaxBalance, this->Balance + BudgetPercent / WholePercent);
 }
 
-bool RetryBudget::spend() {
-  if (this->Saved < 1)
+bool RetryBudget::trySpend() {
+  if (this->Balance < 1)
     return false;
-  this->Saved -= 1;
+  this->Balance -= 1;
   return true;
 }
 
--- a/dispatch/retry_budget.h
+++ b/dispatch/retry_budget.h
@@ -16,12 +16,12 @@
 public:
   void onFirstSend(std::uint32_t BudgetPercent);
   /// \returns whether a retry may be made, and spends it.
-  bool spend();
+  bool trySpend();
 
 private:
-  static constexpr double Reserve = 20;
-  static constexpr double MaxSaved = 1000;
-  double Saved = Reserve;
+  static constexpr double InitialBalance = 20;
+  static constexpr double MaxBalance = 1000;
+  double Balance = InitialBalance;
 };
 
 } // namespace yardwheel
--- a/dispatch/share_counter.cpp
+++ b/dispatch/share_counter.cpp
@@ -9,76 +9,82 @@
 
 /// Breaks ties between workers that look alike, so that entries which see the
 /// same loads do not all send to the same one. A share of the room.
-constexpr double TieBreak = 0.03;
+constexpr double TieBreakJitter = 0.03;
 /// Room counts as sure if so many standard deviations more than expected still
 /// leave it. Others place several tasks at a time, so that surprises are large:
 /// with one deviation, 51 entries and 240 workers at a third of their room had
 /// 0.158 of their tasks given back, with four 0.054 (virtual time, two seeds).
-constexpr double SureDeviations = 4;
+constexpr double SafetyDeviations = 4;
 /// By how many deviations the load of a worker is drawn around what is
 /// expected. Enough for entries to differ; with a whole one, what is known is
 /// drowned (at 0.8 of the room 0.782 of the credit in place of 0.914).
-constexpr double DrawnDeviations = 0.2;
+constexpr double SampledDeviations = 0.2;
 
 } // namespace
 
 ShareCounter::ShareCounter(const PlacementDemand &Demand,
                            std::vector<PlacementTarget> &Targets,
                            std::mt19937_64 &Random)
-    : Demand(Demand), Targets(Targets), Given(Targets.size(), 0),
-      Left(Demand.Tasks), Random(Random) {
-  std::normal_distribution<double> Deviations(0, DrawnDeviations);
-  this->SurplusMilli.reserve(Targets.size());
+    : Demand(Demand), Targets(Targets), Assigned(Targets.size(), 0),
+      Remaining(Demand.Tasks), Random(Random) {
+  std::normal_distribution<double> Deviations(0, SampledDeviations);
+  this->SampledOffsets.reserve(Targets.size());
   for (const PlacementTarget &Target : Targets)
-    this->SurplusMilli.push_back(
-        Target.DoubtMilli == 0 ? 0 : Deviations(Random) * Target.DoubtMilli);
+    this->SampledOffsets.push_back(Target.DeviationMilliCores == 0
+                                       ? 0
+                                       : Deviations(Random) *
+                                             Target.DeviationMilliCores);
 }
 
-std::uint32_t ShareCounter::fitsInto(std::size_t Index,
-                                     std::uint32_t TakenMilli) const {
+std::uint32_t ShareCounter::fittingTasks(std::size_t Index,
+                                         std::uint32_t LoadMilliCores) const {
   const PlacementTarget &Target = this->Targets[Index];
-  if (TakenMilli >= Target.RoomMilli)
+  if (LoadMilliCores >= Target.CapacityMilliCores)
     return 0;
-  std::uint32_t Free = Target.RoomMilli - TakenMilli;
-  std::uint32_t Fitting =
-      this->Demand.CpuMilli == 0 ? UINT32_MAX : Free / this->Demand.CpuMilli;
-  return std::min(Fitting, Target.MostTasks);
+  std::uint32_t Free = Target.CapacityMilliCores - LoadMilliCores;
+  std::uint32_t Fitting = this->Demand.CpuMilliCores == 0
+                              ? UINT32_MAX
+                              : Free / this->Demand.CpuMilliCores;
+  return std::min(Fitting, Target.MaxTasks);
 }
 
-std::uint32_t ShareCounter::startsAt(std::size_t Index) const {
-  return this->fitsInto(Index, this->Targets[Index].TakenMilli);
+std::uint32_t ShareCounter::tasksStartingNow(std::size_t Index) const {
+  return this->fittingTasks(Index, this->Targets[Index].LoadMilliCores);
 }
 
-std::uint32_t ShareCounter::surelyStartsAt(std::size_t Index) const {
+std::uint32_t ShareCounter::tasksSureToStart(std::size_t Index) const {
   const PlacementTarget &Target = this->Targets[Index];
-  double Surplus = SureDeviations * Target.DoubtMilli;
-  return this->fitsInto(Index, Target.TakenMilli +
-                                   static_cast<std::uint32_t>(Surplus));
+  double Margin = SafetyDeviations * Target.DeviationMilliCores;
+  return this->fittingTasks(Index, Target.LoadMilliCores +
+                                       static_cast<std::uint32_t>(Margin));
 }
 
 double ShareCounter::costAt(std::size_t Index) const {
   const PlacementTarget &Target = this->Targets[Index];
-  double Taken = static_cast<double>(Target.TakenMilli) + this->Demand.CpuMilli;
-  Taken = std::max(Taken + this->SurplusMilli[Index], 0.0);
-  return Taken / std::max<double>(Target.RoomMilli, 1) * Target.Stretch;
+  double Taken =
+      static_cast<double>(Target.LoadMilliCores) + this->Demand.CpuMilliCores;
+  Taken = std::max(Taken + this->SampledOffsets[Index], 0.0);
+  return Taken / std::max<double>(Target.CapacityMilliCores, 1) *
+         Target.RunTimeFactor;
 }
 
-void ShareCounter::give(std::size_t Index, std::uint32_t Tasks) {
+void ShareCounter::assign(std::size_t Index, std::uint32_t Tasks) {
   PlacementTarget &Target = this->Targets[Index];
-  Target.TakenMilli += Tasks * this->Demand.CpuMilli;
-  Target.MostTasks -= std::min(Target.MostTasks, Tasks);
-  this->Given[Index] += Tasks;
-  this->Left -= Tasks;
+  Target.LoadMilliCores += Tasks * this->Demand.CpuMilliCores;
+  Target.MaxTasks -= std::min(Target.MaxTasks, Tasks);
+  this->Assigned[Index] += Tasks;
+  this->Remaining -= Tasks;
 }
 
-bool ShareCounter::giveToLeast() {
-  std::uniform_real_distribution<double> Jitter(0, TieBreak);
+bool ShareCounter::assignOneToCheapest() {
+  std::uniform_real_distribution<double> Jitter(0, TieBreakJitter);
   std::size_t Best = 0;
   double Least = std::numeric_limits<double>::infinity();
   for (std::size_t I = 0; I < this->Targets.size(); ++I) {
-    bool Barred = this->Targets[I].MostTasks == 0 ||
-                  (this->Demand.OnlyStartingNow && this->startsAt(I) == 0);
-    if (Barred)
+    bool Excluded =
+        this->Targets[I].MaxTasks == 0 ||
+        (this->Demand.OnlyStartingNow && this->tasksStartingNow(I) == 0);
+    if (Excluded)
       continue;
     double Cost = this->costAt(I) + Jitter(this->Random);
     if (Cost < Least) {
@@ -88,17 +94,17 @@
   }
   if (Least == std::numeric_limits<double>::infinity())
     return false;
-  this->give(Best, 1);
+  this->assign(Best, 1);
   return true;
 }
 
 std::vector<PlacementShare> ShareCounter::shares() const {
   std::vector<PlacementShare> Shares;
-  for (std::size_t I = 0; I < this->Given.size(); ++I)
-    if (this->Given[I] > 0)
-      Shares.push_back(
-          {this->Targets[I].Worker, this->Given[I],
-           this->Targets[I].TakenMilli <= this->Targets[I].RoomMilli});
+  for (std::size_t I = 0; I < this->Assigned.size(); ++I)
+    if (this->Assigned[I] > 0)
+      Shares.push_back({this->Targets[I].Worker, this->Assigned[I],
+                        this->Targets[I].LoadMilliCores <=
+                            this->Targets[I].CapacityMilliCores});
   return Shares;
 }
 
--- a/dispatch/share_counter.h
+++ b/dispatch/share_counter.h
@@ -12,33 +12,34 @@
   ShareCounter(const PlacementDemand &Demand,
                std::vector<PlacementTarget> &Targets, std::mt19937_64 &Random);
 
-  std::uint32_t left() const { return this->Left; }
+  std::uint32_t remaining() const { return this->Remaining; }
 
   /// Tasks that would start at once at a target, as far as is known.
-  std::uint32_t startsAt(std::size_t Index) const;
+  std::uint32_t tasksStartingNow(std::size_t Index) const;
   /// The same, leaving out those of which there is some doubt.
-  std::uint32_t surelyStartsAt(std::size_t Index) const;
+  std::uint32_t tasksSureToStart(std::size_t Index) const;
   /// The share of the target's room that is taken once it has one task more,
   /// stretched like its run. Where that is in doubt, one of the shares that it
   /// may be, drawn once: entries that know as little then choose differently.
   double costAt(std::size_t Index) const;
 
-  void give(std::size_t Index, std::uint32_t Tasks);
+  void assign(std::size_t Index, std::uint32_t Tasks);
   /// Gives one task to the target where it costs least. \returns whether there
   /// is one that may take it.
-  bool giveToLeast();
+  bool assignOneToCheapest();
 
   std::vector<PlacementShare> shares() const;
 
 private:
-  std::uint32_t fitsInto(std::size_t Index, std::uint32_t TakenMilli) const;
+  std::uint32_t fittingTasks(std::size_t Index,
+                             std::uint32_t LoadMilliCores) const;
 
   const PlacementDemand &Demand;
   std::vector<PlacementTarget> &Targets;
-  std::vector<std::uint32_t> Given;
+  std::vector<std::uint32_t> Assigned;
   /// By how much more than expected is taken at each target, as drawn.
-  std::vector<double> SurplusMilli;
-  std::uint32_t Left;
+  std::vector<double> SampledOffsets;
+  std::uint32_t Remaining;
   std::mt19937_64 &Random;
 };
 
--- a/dispatch/slot_borrow_policy.cpp
+++ b/dispatch/slot_borrow_policy.cpp
@@ -7,7 +7,7 @@
 /// Tasks that may wait at an agent beyond its slots, as far as is known, so
 /// that a slot that falls free there is taken without a message's delay.
 /// More of them start later than at the upstream that falls free first.
-constexpr std::uint32_t QueueAhead = 1;
+constexpr std::uint32_t MaxQueuedAtAgent = 1;
 
 } // namespace
 
@@ -17,7 +17,7 @@
     return Own;
   if (std::optional<UpstreamIndex> Free = Table.byTotalFree().pickBest(Random))
     return Free;
-  return Table.shortestQueue(QueueAhead, Random);
+  return Table.shortestQueue(MaxQueuedAtAgent, Random);
 }
 
 } // namespace yardwheel
--- a/dispatch/spread_placement.cpp
+++ b/dispatch/spread_placement.cpp
@@ -9,7 +9,7 @@
                         std::vector<PlacementTarget> Targets,
                         std::mt19937_64 &Random) const {
   ShareCounter Counter(Demand, Targets, Random);
-  while (Counter.left() > 0 && Counter.giveToLeast()) {
+  while (Counter.remaining() > 0 && Counter.assignOneToCheapest()) {
   }
   return Counter.shares();
 }
--- a/dispatch/upstream_table.cpp
+++ b/dispatch/upstream_table.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-constexpr std::size_t NoPlace = SIZE_MAX;
+constexpr std::size_t NotEligible = SIZE_MAX;
 constexpr std::uint32_t WholePercent = 100;
 /// The deepest agent queue that the queue-room index tells apart.
 constexpr int QueueRoomRange = 256;
@@ -27,13 +27,13 @@
   UpstreamIndex Index = Found->second;
   if (New) {
     this->Upstreams.emplace_back();
-    this->EligiblePlace.push_back(NoPlace);
+    this->EligiblePosition.push_back(NotEligible);
   }
   Upstream &Target = this->Upstreams[Index];
   bool WasAlive = Target.Alive;
-  bool NewLife = Target.Incarnation != Member.incarnation();
-  Replaced = !New && NewLife;
-  if (NewLife) {
+  bool NewIncarnation = Target.Incarnation != Member.incarnation();
+  Replaced = !New && NewIncarnation;
+  if (NewIncarnation) {
     if (Target.Ejected)
       --this->EjectedCount;
     // What was known of the older life says nothing of this one.
@@ -72,33 +72,33 @@
   Target.Share = Base + (Turn % this->Entries < Rest ? 1 : 0);
 }
 
-void UpstreamTable::hear(UpstreamIndex Index, const peer::AgentLoad &Load,
-                         TimePoint Now) {
+void UpstreamTable::onLoadReport(UpstreamIndex Index,
+                                 const peer::AgentLoad &Load, TimePoint Now) {
   Upstream &Target = this->Upstreams[Index];
   if (Load.incarnation() != Target.Incarnation)
     return;
   if (Load.leaving())
     Target.Alive = false;
-  Target.Silent = false;
+  Target.Unreachable = false;
   Target.LastHeard = Now;
   // An older word that comes late says less than what is known.
   if (Load.freshness() >= Target.Freshness) {
     Target.Freshness = Load.freshness();
     std::uint32_t Busy = Load.running() + Load.queued();
-    Target.Others = Busy > Target.Own ? Busy - Target.Own : 0;
+    Target.OtherTasks = Busy > Target.OwnTasks ? Busy - Target.OwnTasks : 0;
   }
   this->reindex(Index);
 }
 
 void UpstreamTable::onSent(UpstreamIndex Index) {
-  ++this->Upstreams[Index].Own;
+  ++this->Upstreams[Index].OwnTasks;
   this->reindex(Index);
 }
 
 void UpstreamTable::onSettled(UpstreamIndex Index) {
   Upstream &Target = this->Upstreams[Index];
-  if (Target.Own > 0)
-    --Target.Own;
+  if (Target.OwnTasks > 0)
+    --Target.OwnTasks;
   this->reindex(Index);
 }
 
@@ -130,11 +130,11 @@
   auto Alive = std::count_if(this->Upstreams.begin(), this->Upstreams.end(),
                              [](const Upstream &M) { return M.Alive; });
   return (this->EjectedCount + 1) * WholePercent <=
-         static_cast<std::uint32_t>(Alive) * this->Rules.MaxShare;
+         static_cast<std::uint32_t>(Alive) * this->Rules.MaxEjectedPercent;
 }
 
-void UpstreamTable::setSilent(UpstreamIndex Index, bool Silent) {
-  this->Upstreams[Index].Silent = Silent;
+void UpstreamTable::setUnreachable(UpstreamIndex Index, bool Unreachable) {
+  this->Upstreams[Index].Unreachable = Unreachable;
   this->reindex(Index);
 }
 
@@ -185,44 +185,44 @@
   return Shortest;
 }
 
-bool UpstreamTable::mayGetWork(const Upstream &Target) const {
-  if (!Target.Alive || Target.Silent || Target.Ejected)
+bool UpstreamTable::isEligible(const Upstream &Target) const {
+  if (!Target.Alive || Target.Unreachable || Target.Ejected)
     return false;
-  return !Target.OnProbation || Target.Own == 0;
+  return !Target.OnProbation || Target.OwnTasks == 0;
 }
 
 void UpstreamTable::reindex(UpstreamIndex Index) {
   const Upstream &Target = this->Upstreams[Index];
-  bool May = this->mayGetWork(Target);
-  this->setEligible(Index, May);
-  if (!May) {
+  bool CanGetWork = this->isEligible(Target);
+  this->setEligible(Index, CanGetWork);
+  if (!CanGetWork) {
     this->ByOwnFree.remove(Index);
     this->ByTotalFree.remove(Index);
     this->ByQueueRoom.remove(Index);
     return;
   }
-  auto Own = static_cast<int>(Target.Own);
+  auto OwnTasks = static_cast<int>(Target.OwnTasks);
   auto Load = static_cast<int>(Target.load());
   auto Slots = static_cast<int>(Target.Slots);
-  this->ByOwnFree.put(Index, static_cast<int>(Target.Share) - Own);
+  this->ByOwnFree.put(Index, static_cast<int>(Target.Share) - OwnTasks);
   this->ByTotalFree.put(Index, Slots - Load);
   this->ByQueueRoom.put(Index, QueueRoomRange + Slots - Load);
 }
 
-void UpstreamTable::setEligible(UpstreamIndex Index, bool May) {
-  std::size_t &Place = this->EligiblePlace[Index];
-  if (May == (Place != NoPlace))
+void UpstreamTable::setEligible(UpstreamIndex Index, bool CanGetWork) {
+  std::size_t &Place = this->EligiblePosition[Index];
+  if (CanGetWork == (Place != NotEligible))
     return;
-  if (May) {
+  if (CanGetWork) {
     Place = this->Eligible.size();
     this->Eligible.push_back(Index);
     return;
   }
   UpstreamIndex Last = this->Eligible.back();
   this->Eligible[Place] = Last;
-  this->EligiblePlace[Last] = Place;
+  this->EligiblePosition[Last] = Place;
   this->Eligible.pop_back();
-  Place = NoPlace;
+  Place = NotEligible;
 }
 
 } // namespace yardwheel
--- a/dispatch/upstream_table.h
+++ b/dispatch/upstream_table.h
@@ -27,7 +27,7 @@
   std::chrono::milliseconds FirstBackoff{1000};
   std::chrono::milliseconds MaxBackoff{30000};
   /// No more than this share of the upstreams is out at once, in percent.
-  std::uint32_t MaxShare = 50;
+  std::uint32_t MaxEjectedPercent = 50;
 };
 
 struct Upstream {
@@ -38,12 +38,12 @@
   peer::Resources Resources;
   bool Alive = false;
   /// Given up on by this entry until it is heard of again.
-  bool Silent = false;
+  bool Unreachable = false;
 
   /// Tasks that this entry sent and that have not ended.
-  std::uint32_t Own = 0;
+  std::uint32_t OwnTasks = 0;
   /// Tasks of other entries, as the agent last told.
-  std::uint32_t Others = 0;
+  std::uint32_t OtherTasks = 0;
   /// Slots that this entry alone may count on.
   std::uint32_t Share = 0;
   std::uint64_t Freshness = 0;
@@ -56,7 +56,7 @@
   TimePoint EjectedUntil;
   std::chrono::milliseconds Backoff{};
 
-  std::uint32_t load() const { return this->Own + this->Others; }
+  std::uint32_t load() const { return this->OwnTasks + this->OtherTasks; }
 };
 
 /// Whether a worker, when empty, has what a task needs.
@@ -75,14 +75,15 @@
   void setShares(std::uint32_t Position, std::uint32_t Entries);
 
   /// Takes what an agent says of its load. Words of another life are dropped.
-  void hear(UpstreamIndex Index, const peer::AgentLoad &Load, TimePoint Now);
+  void onLoadReport(UpstreamIndex Index, const peer::AgentLoad &Load,
+                    TimePoint Now);
 
   void onSent(UpstreamIndex Index);
   /// A task ended or was proved not to have started.
   void onSettled(UpstreamIndex Index);
   void onSuccess(UpstreamIndex Index);
   void onFailure(UpstreamIndex Index, std::uint32_t Threshold, TimePoint Now);
-  void setSilent(UpstreamIndex Index, bool Silent);
+  void setUnreachable(UpstreamIndex Index, bool Unreachable);
 
   /// Lets ejected upstreams back whose time is up.
   void tick(TimePoint Now);
@@ -108,9 +109,9 @@
                                              std::mt19937_64 &Random) const;
 
 private:
-  bool mayGetWork(const Upstream &Target) const;
+  bool isEligible(const Upstream &Target) const;
   void reindex(UpstreamIndex Index);
-  void setEligible(UpstreamIndex Index, bool May);
+  void setEligible(UpstreamIndex Index, bool CanGetWork);
   bool mayEjectOneMore() const;
   void assignShare(Upstream &Target) const;
 
@@ -119,7 +120,7 @@
   std::unordered_map<std::string, UpstreamIndex> ByName;
   std::vector<UpstreamIndex> Eligible;
   /// Place in Eligible, or absent, of each upstream.
-  std::vector<std::size_t> EligiblePlace;
+  std::vector<std::size_t> EligiblePosition;
   BucketIndex ByOwnFree;
   BucketIndex ByTotalFree;
   BucketIndex ByQueueRoom;
--- a/dispatch/waiting_rule.cpp
+++ b/dispatch/waiting_rule.cpp
@@ -6,17 +6,17 @@
 
 bool WaitingRule::waitsForOffers(std::chrono::milliseconds Slack,
                                  std::size_t Workers) const {
-  bool Urgent = Slack.count() > 0 && Slack < this->Options.UrgentBelow;
+  bool Urgent = Slack.count() > 0 && Slack < this->Options.MaxUrgentSlack;
   return Urgent && this->usesOffers(Workers);
 }
 
 std::chrono::milliseconds
-WaitingRule::offersFor(std::chrono::milliseconds Slack) const {
+WaitingRule::offerWaitTime(std::chrono::milliseconds Slack) const {
   return std::chrono::duration_cast<std::chrono::milliseconds>(
-      Slack * this->Options.WaitShare);
+      Slack * this->Options.OfferWaitFraction);
 }
 
-std::size_t WaitingRule::workersToAsk(std::size_t Tasks) const {
+std::size_t WaitingRule::workersToQuery(std::size_t Tasks) const {
   return static_cast<std::size_t>(
       std::ceil(static_cast<double>(Tasks) * this->Options.WorkersPerTask));
 }
--- a/dispatch/waiting_rule.h
+++ b/dispatch/waiting_rule.h
@@ -30,7 +30,7 @@
   /// Jobs with less time than this before their latest start wait for offers.
   /// A full worker frees some slots in it, so those with more time are safe in
   /// any queue.
-  std::chrono::milliseconds UrgentBelow{150};
+  std::chrono::milliseconds MaxUrgentSlack{150};
   /// Larger pools do without. There a job that was sent where it does not fit
   /// finds room at the next worker or the one after, without several times as
   /// many messages: with 70 workers at 1.08 times their room jobs earned 0.882
@@ -41,7 +41,7 @@
   /// Share of the time before the latest start that is spent on waiting for
   /// offers; then the tasks go into workers' queues, as an offer or an
   /// interest may have been lost.
-  double WaitShare = 0.6;
+  double OfferWaitFraction = 0.6;
 };
 
 class WaitingRule {
@@ -57,9 +57,10 @@
     return this->Options.Enabled && Workers <= this->Options.MaxWorkers;
   }
   /// For how long they do.
-  std::chrono::milliseconds offersFor(std::chrono::milliseconds Slack) const;
+  std::chrono::milliseconds
+  offerWaitTime(std::chrono::milliseconds Slack) const;
   /// How many workers are asked.
-  std::size_t workersToAsk(std::size_t Tasks) const;
+  std::size_t workersToQuery(std::size_t Tasks) const;
 
 private:
   WaitingOptions Options;
--- a/entry/job_runner.cpp
+++ b/entry/job_runner.cpp
@@ -261,7 +261,7 @@
   for (int I = 0; I < Sample; ++I) {
     UpstreamIndex Index = Eligible[this->Random() % Eligible.size()];
     const Upstream &Candidate = Target.Upstreams.at(Index);
-    if (Candidate.Own == 0 || Candidate.load() <= Candidate.Slots)
+    if (Candidate.OwnTasks == 0 || Candidate.load() <= Candidate.Slots)
       continue;
     if (!Longest || Candidate.load() > Target.Upstreams.at(*Longest).load())
       Longest = Index;
@@ -298,7 +298,7 @@
   std::optional<UpstreamIndex> Index = Target->Upstreams.find(Agent);
   if (!Index)
     return;
-  Target->Upstreams.hear(*Index, Load, Now);
+  Target->Upstreams.onLoadReport(*Index, Load, Now);
   this->schedule(*Target, Now);
 }
 
@@ -325,7 +325,7 @@
     if (SameSend && (Life == Task.Incarnation || LifeOver))
       this->apply(*Owner, Update, Now);
   }
-  Place->Upstreams.hear(*Upstream, Update.load(), Now);
+  Place->Upstreams.onLoadReport(*Upstream, Update.load(), Now);
   this->schedule(*Place, Now);
 }
 
@@ -386,7 +386,7 @@
 void JobRunner::resend(Job &Owner, std::uint32_t Index,
                        const std::string &Reason, TimePoint Now) {
   Pool &Place = this->Pools[Owner.PoolName];
-  if (!Place.budget(Owner.Request.Workspace).spend()) {
+  if (!Place.budget(Owner.Request.Workspace).trySpend()) {
     FailureSpec Failure;
     Failure.Kind = peer::FAILURE_UNAVAILABLE;
     Failure.Step = "dispatch";
--- a/entry/job_runner_watch.cpp
+++ b/entry/job_runner_watch.cpp
@@ -58,7 +58,7 @@
 void JobRunner::askWhenDeaf(Pool &Target, TimePoint Now) {
   // With no task out, no result will tell of slots that fall free.
   const std::vector<UpstreamIndex> &Eligible = Target.Upstreams.eligible();
-  if (Target.Queue.waiting() == 0 || Target.Queue.out() > 0 ||
+  if (Target.Queue.waiting() == 0 || Target.Queue.inFlight() > 0 ||
       Eligible.empty() || Now < this->NextDeafQuestion)
     return;
   this->NextDeafQuestion = Now + AskWhenDeaf;
@@ -126,7 +126,7 @@
   TaskState &Task = Owner.States[Index];
   Pool &Place = this->Pools[Owner.PoolName];
   if (Task.UnansweredProbes >= this->Options.MaxUnanswered) {
-    Place.Upstreams.setSilent(Task.Upstream, true);
+    Place.Upstreams.setUnreachable(Task.Upstream, true);
     this->loseTasks(Place, Task.Upstream, "the agent does not answer", Now);
     return;
   }
--- a/entry/lease_coordinator_offers.cpp
+++ b/entry/lease_coordinator_offers.cpp
@@ -33,11 +33,12 @@
   Target.AskedFor += New;
   std::chrono::milliseconds Slack = slackOf(Target, Now);
   if (Target.OffersUntil == TimePoint::max())
-    Target.OffersUntil = Now.Steady + this->Waits.offersFor(Slack);
+    Target.OffersUntil = Now.Steady + this->Waits.offerWaitTime(Slack);
   if (New == 0)
     return;
   for (const LeasedWorker *Worker : this->Workers.sampleWorkers(
-           Target.Request, Avoid, this->Waits.workersToAsk(New), Now.Steady)) {
+           Target.Request, Avoid, this->Waits.workersToQuery(New),
+           Now.Steady)) {
     peer::Message Message;
     peer::LeasedInterest *Interest = Message.mutable_leased_interest();
     Interest->set_job(Target.Request.Id);
--- a/entry/worker_table.cpp
+++ b/entry/worker_table.cpp
@@ -299,21 +299,22 @@
                                        const LoadForecast *Known,
                                        TimePoint Now) const {
   PlacementTarget Target;
-  Target.RoomMilli = Worker.Room.cpu_milli();
+  Target.CapacityMilliCores = Worker.Room.cpu_milli();
   Forecast Others = forecastOthers(Worker, Known, Now);
   auto Milli = [&](double Share) {
-    return static_cast<std::uint32_t>(std::lround(Share * Target.RoomMilli));
+    return static_cast<std::uint32_t>(
+        std::lround(Share * Target.CapacityMilliCores));
   };
-  Target.TakenMilli = Milli(Others.Share) + Worker.OwnCpu;
-  Target.DoubtMilli = Milli(Others.Deviation);
+  Target.LoadMilliCores = Milli(Others.Share) + Worker.OwnCpu;
+  Target.DeviationMilliCores = Milli(Others.Deviation);
   if (Job.MaxPerWorker > 0)
-    Target.MostTasks = Job.MaxPerWorker;
+    Target.MaxTasks = Job.MaxPerWorker;
   if (Worker.Ejected || Worker.OnTrial)
-    Target.MostTasks = 1;
+    Target.MaxTasks = 1;
   bool OffRack =
       !Job.PreferredRack.empty() && !Worker.Labels.contains(Job.PreferredRack);
   if (OffRack)
-    Target.Stretch = this->Options.OffRackFactor;
+    Target.RunTimeFactor = this->Options.OffRackFactor;
   return Target;
 }
 
@@ -331,7 +332,7 @@
     PlacementTarget Target = this->targetFor(Worker, Job, Known, Now);
     Target.Worker = Candidates.size();
     if (auto Already = Placed.find(Name); Already != Placed.end())
-      Target.MostTasks -= std::min(Target.MostTasks, Already->second);
+      Target.MaxTasks -= std::min(Target.MaxTasks, Already->second);
     Candidates.push_back(&Worker);
     Targets.push_back(Target);
   }
--- a/tests/dispatch/placement_test.cpp
+++ b/tests/dispatch/placement_test.cpp
@@ -12,19 +12,20 @@
 namespace {
 
 struct Worker {
-  std::uint32_t RoomMilli;
-  std::uint32_t TakenMilli;
-  std::uint32_t MostTasks = UINT32_MAX;
-  double Stretch = 1;
-  std::uint32_t DoubtMilli = 0;
+  std::uint32_t CapacityMilliCores;
+  std::uint32_t LoadMilliCores;
+  std::uint32_t MaxTasks = UINT32_MAX;
+  double RunTimeFactor = 1;
+  std::uint32_t DeviationMilliCores = 0;
 };
 
 std::vector<PlacementTarget> targetsOf(const std::vector<Worker> &Workers) {
   std::vector<PlacementTarget> Targets;
   Targets.reserve(Workers.size());
   for (const Worker &Known : Workers)
-    Targets.push_back({Targets.size(), Known.RoomMilli, Known.TakenMilli,
-                       Known.MostTasks, Known.Stretch, Known.DoubtMilli});
+    Targets.push_back({Targets.size(), Known.CapacityMilliCores,
+                       Known.LoadMilliCores, Known.MaxTasks,
+                       Known.RunTimeFactor, Known.DeviationMilliCores});
   return Targets;
 }
 
@@ -88,7 +89,7 @@
     for (const PlacementShare &Share : Shares) {
       Given.push_back(Share.Tasks);
       CHECK_TEXT(Share.StartsNow == Row.StartsNow, Row.Name);
-      CHECK_TEXT(Share.Tasks <= Row.Workers[Share.Worker].MostTasks, Row.Name);
+      CHECK_TEXT(Share.Tasks <= Row.Workers[Share.Worker].MaxTasks, Row.Name);
     }
     std::sort(Given.begin(), Given.end());
     CHECK_TEXT(Given == Row.Shares, Row.Name);
@@ -106,7 +107,7 @@
 TEST(PlacementTest, EntriesThatSeeTheSameChooseDifferently) {
   auto Packed = makePlacement("packed");
   std::vector<Worker> Workers(10, {8000, 0});
-  Workers[3].TakenMilli = 1000;
+  Workers[3].LoadMilliCores = 1000;
   std::set<std::size_t> Chosen;
   for (int I = 0; I < 200; ++I)
     for (const PlacementShare &Share :
--- a/tests/dispatch/policy_test.cpp
+++ b/tests/dispatch/policy_test.cpp
@@ -30,8 +30,8 @@
     peer::AgentLoad Load;
     Load.set_incarnation(1);
     Load.set_freshness(Table.at(I).Freshness + 1);
-    Load.set_running(Others + Table.at(I).Own);
-    Table.hear(I, Load, TimePoint());
+    Load.set_running(Others + Table.at(I).OwnTasks);
+    Table.onLoadReport(I, Load, TimePoint());
   }
 }
 
@@ -81,7 +81,7 @@
 TEST(PolicyTest, NoneSendsToAUpstreamThatMayGetNoWork) {
   for (std::string_view Name : PolicyNames) {
     UpstreamTable Table = makeTable();
-    Table.setSilent(1, true);
+    Table.setUnreachable(1, true);
     std::unique_ptr<RoutePolicy> Policy = makePolicy(Name);
     std::mt19937_64 Random(5);
     for (int I = 0; I < 50; ++I) {
@@ -90,8 +90,8 @@
       if (Chosen)
         Table.onSent(*Chosen);
     }
-    Table.setSilent(0, true);
-    Table.setSilent(2, true);
+    Table.setUnreachable(0, true);
+    Table.setUnreachable(2, true);
     CHECK_FALSE(Policy->choose(Table, Random).has_value());
   }
 }
--- a/tests/dispatch/upstream_table_test.cpp
+++ b/tests/dispatch/upstream_table_test.cpp
@@ -88,11 +88,11 @@
   Table.onSent(0);
   add("a0", 2);
   LONGS_EQUAL(4, Table.eligible().size());
-  LONGS_EQUAL(0, Table.at(0).Own);
+  LONGS_EQUAL(0, Table.at(0).OwnTasks);
   peer::AgentLoad Late;
   Late.set_incarnation(1);
   Late.set_leaving(true);
-  Table.hear(0, Late, Start);
+  Table.onLoadReport(0, Late, Start);
   LONGS_EQUAL(4, Table.eligible().size());
 }
 
@@ -101,12 +101,12 @@
   Load.set_incarnation(1);
   Load.set_freshness(10);
   Load.set_running(6);
-  Table.hear(0, Load, Start);
-  LONGS_EQUAL(6, Table.at(0).Others);
+  Table.onLoadReport(0, Load, Start);
+  LONGS_EQUAL(6, Table.at(0).OtherTasks);
   Load.set_freshness(9);
   Load.set_running(1);
-  Table.hear(0, Load, Start);
-  LONGS_EQUAL(6, Table.at(0).Others);
+  Table.onLoadReport(0, Load, Start);
+  LONGS_EQUAL(6, Table.at(0).OtherTasks);
 }
 
 TEST(UpstreamTableTest, KnowsWhatFitsNowhere) {
@@ -130,13 +130,13 @@
 TEST(RetryBudgetTest, RetriesAreBoundedByAShareOfSends) {
   RetryBudget Budget;
   int Reserve = 0;
-  while (Budget.spend())
+  while (Budget.trySpend())
     ++Reserve;
   CHECK_TRUE(Reserve > 0);
   for (int I = 0; I < 1000; ++I)
     Budget.onFirstSend(20);
   int Retries = 0;
-  while (Budget.spend())
+  while (Budget.trySpend())
     ++Retries;
   CHECK_TRUE(Retries >= 199 && Retries <= 200);
 }
--- a/tests/dispatch/waiting_rule_test.cpp
+++ b/tests/dispatch/waiting_rule_test.cpp
@@ -28,6 +28,6 @@
 
 TEST(WaitingRuleTest, TimeIsLeftForAWorkersQueue) {
   WaitingRule Rule{WaitingOptions()};
-  CHECK(Rule.offersFor(100ms) == 60ms);
-  LONGS_EQUAL(16, Rule.workersToAsk(8));
+  CHECK(Rule.offerWaitTime(100ms) == 60ms);
+  LONGS_EQUAL(16, Rule.workersToQuery(8));
 }
