--- a/dispatch/load_forecast.cpp
+++ b/dispatch/load_forecast.cpp
@@ -15,11 +15,12 @@
   this->LastReport = Now;
 }
 
-void LoadForecast::onTaskEnded(std::chrono::milliseconds Ran) {
-  double Length = std::chrono::duration<double>(Ran).count();
+void LoadForecast::onTaskEnded(std::chrono::milliseconds RunTime) {
+  double RunTimeSeconds = std::chrono::duration<double>(RunTime).count();
   double Weight = this->Options.WeightKeptPerTask;
-  this->RunTimeSum = Weight * this->RunTimeSum + Length;
-  this->RunTimeSquareSum = Weight * this->RunTimeSquareSum + Length * Length;
+  this->RunTimeSum = Weight * this->RunTimeSum + RunTimeSeconds;
+  this->RunTimeSquareSum =
+      Weight * this->RunTimeSquareSum + RunTimeSeconds * RunTimeSeconds;
 }
 
 double LoadForecast::poolMean() const {
--- a/dispatch/load_forecast.h
+++ b/dispatch/load_forecast.h
@@ -45,7 +45,7 @@
   /// A worker has told which share of it others hold.
   void onReport(double Share, TimePoint Now);
   /// A task has run for as long as this.
-  void onTaskEnded(std::chrono::milliseconds Ran);
+  void onTaskEnded(std::chrono::milliseconds RunTime);
 
   /// \param Share As heard. \param Age How long ago that was.
   Forecast at(double Share, Duration Age) const;
--- a/entry/worker_table.cpp
+++ b/entry/worker_table.cpp
@@ -24,7 +24,8 @@
 
 /// Of a worker's processor time, what others were last said to hold.
 double reportedShareOf(const LeasedWorker &Worker) {
-  return static_cast<double>(Worker.OthersCpu) / Worker.Room.cpu_milli();
+  return static_cast<double>(Worker.OthersMilliCores) /
+         Worker.Capacity.cpu_milli();
 }
 
 } // namespace
@@ -50,7 +51,7 @@
   if (Member.incarnation() > Target.Incarnation) {
     LeasedWorker New;
     // What its earlier life had is counted until it is given up, one by one.
-    New.OwnCpu = Target.OwnCpu;
+    New.OwnMilliCores = Target.OwnMilliCores;
     New.OwnTasks = Target.OwnTasks;
     Target = New;
     Target.Incarnation = Member.incarnation();
@@ -70,8 +71,8 @@
   Target.Pool = Member.pool();
   Target.Labels = {Member.labels().begin(), Member.labels().end()};
   // What the agent itself says of its worker's room is newer.
-  if (!Target.RoomReported)
-    Target.Room = Member.room();
+  if (!Target.CapacityReported)
+    Target.Capacity = Member.room();
   Target.Alive = Member.state() == peer::MEMBER_ALIVE;
   if (Target.Alive) {
     Target.Unreachable = false;
@@ -103,7 +104,7 @@
   if (NewLife) {
     Target->Incarnation = Load.incarnation();
     Target->Stamp = 0;
-    Target->RoomReported = false;
+    Target->CapacityReported = false;
     Target->Alive = true;
   }
   Target->Unreachable = false;
@@ -114,11 +115,11 @@
   Target->Stamp = Load.stamp();
   Target->StampReceived = Now;
   if (Load.has_room()) {
-    Target->Room = Load.room();
-    Target->RoomReported = true;
+    Target->Capacity = Load.room();
+    Target->CapacityReported = true;
   }
-  this->setOthersCpu(*Target, Load.others_cpu_milli());
-  if (Target->Room.cpu_milli() > 0)
+  this->setOthersMilliCores(*Target, Load.others_cpu_milli());
+  if (Target->Capacity.cpu_milli() > 0)
     this->Forecasts[Target->Pool].onReport(reportedShareOf(*Target), Now);
   if (Load.leaving())
     Target->Alive = false;
@@ -126,17 +127,19 @@
   return NewLife;
 }
 
-void WorkerTable::setOthersCpu(LeasedWorker &Target, std::uint32_t Told) {
-  std::uint64_t Most = MaxReportedLoadFactor * Target.Room.cpu_milli();
-  bool IsNews = Target.OthersCpu < Most;
-  if (Told > Most && IsNews)
+void WorkerTable::setOthersMilliCores(LeasedWorker &Target,
+                                      std::uint32_t Reported) {
+  std::uint64_t MaxMilliCores =
+      MaxReportedLoadFactor * Target.Capacity.cpu_milli();
+  bool NotYetLogged = Target.OthersMilliCores < MaxMilliCores;
+  if (Reported > MaxMilliCores && NotYetLogged)
     this->Log.decision("load_beyond_room",
                        {{"agent", Target.Agent.Node},
-                        {"told_cpu_milli", Told},
-                        {"room_cpu_milli", Target.Room.cpu_milli()},
-                        {"taken_as", Most}});
-  Target.OthersCpu =
-      static_cast<std::uint32_t>(std::min<std::uint64_t>(Told, Most));
+                        {"told_cpu_milli", Reported},
+                        {"room_cpu_milli", Target.Capacity.cpu_milli()},
+                        {"taken_as", MaxMilliCores}});
+  Target.OthersMilliCores = static_cast<std::uint32_t>(
+      std::min<std::uint64_t>(Reported, MaxMilliCores));
 }
 
 void WorkerTable::setUnreachable(const std::string &Agent) {
@@ -152,7 +155,7 @@
 void WorkerTable::onSent(const std::string &Agent,
                          const peer::TaskNeeds &Needs) {
   if (LeasedWorker *Target = this->find(Agent)) {
-    Target->OwnCpu += Needs.cpu_milli();
+    Target->OwnMilliCores += Needs.cpu_milli();
     ++Target->OwnTasks;
   }
 }
@@ -162,14 +165,14 @@
   LeasedWorker *Target = this->find(Agent);
   if (Target == nullptr || Target->OwnTasks == 0)
     return;
-  Target->OwnCpu -= std::min(Target->OwnCpu, Needs.cpu_milli());
+  Target->OwnMilliCores -= std::min(Target->OwnMilliCores, Needs.cpu_milli());
   --Target->OwnTasks;
 }
 
 void WorkerTable::onSuccess(const std::string &Agent,
-                            std::chrono::milliseconds Ran) {
+                            std::chrono::milliseconds RunTime) {
   if (LeasedWorker *Target = this->find(Agent)) {
-    this->Forecasts[Target->Pool].onTaskEnded(Ran);
+    this->Forecasts[Target->Pool].onTaskEnded(RunTime);
     Target->FailuresInRow = 0;
     Target->OnTrial = false;
     Target->Backoff = {};
@@ -215,15 +218,15 @@
 
 bool WorkerTable::mayEjectOneMore(const std::string &Pool) const {
   std::uint32_t Total = 0;
-  std::uint32_t Out = 1;
+  std::uint32_t EjectedCount = 1;
   for (const auto &[Name, Worker] : this->Workers) {
     if (Worker.Pool != Pool || !Worker.Alive)
       continue;
     ++Total;
     if (Worker.Ejected)
-      ++Out;
+      ++EjectedCount;
   }
-  return Out * Percent <= Total * this->Options.MaxEjectedPercent;
+  return EjectedCount * Percent <= Total * this->Options.MaxEjectedPercent;
 }
 
 LeasedWorker *WorkerTable::find(const std::string &Agent) {
@@ -236,14 +239,14 @@
   // On an older stamp the agent would refuse it; it is being asked for one.
   bool Fresh = Now - Worker.StampReceived < MaxStampAge;
   bool Serves = Worker.isReachable() && Fresh && Worker.Pool == Job.Pool;
-  if (!Serves || !holdsNeeds(Worker.Room, Job.Needs))
+  if (!Serves || !holdsNeeds(Worker.Capacity, Job.Needs))
     return false;
   if (!Job.RequiredLabel.empty() && !Worker.Labels.contains(Job.RequiredLabel))
     return false;
   if (Worker.Ejected && Now < Worker.EjectedUntil)
     return false;
-  bool Tried = Worker.Ejected || Worker.OnTrial;
-  return !Tried || Worker.OwnTasks == 0;
+  bool NeedsTrial = Worker.Ejected || Worker.OnTrial;
+  return !NeedsTrial || Worker.OwnTasks == 0;
 }
 
 bool WorkerTable::hasReachable() const {
@@ -254,58 +257,61 @@
 
 double WorkerTable::pressure(const LeasedJobRequest &Job,
                              std::uint64_t WaitingMilli, TimePoint Now) const {
-  const LoadForecast *Known = this->forecastFor(Job.Pool);
-  auto Taken = static_cast<double>(WaitingMilli);
-  double Room = 0;
+  const LoadForecast *PoolForecast = this->forecastFor(Job.Pool);
+  auto Load = static_cast<double>(WaitingMilli);
+  double Capacity = 0;
   for (const auto &[Name, Worker] : this->Workers) {
     if (!this->canTake(Worker, Job, Now))
       continue;
-    Taken += forecastOthersShare(Worker, Known, Now) * Worker.Room.cpu_milli();
-    Taken += Worker.OwnCpu;
-    Room += Worker.Room.cpu_milli();
+    Load += forecastOthersShare(Worker, PoolForecast, Now) *
+            Worker.Capacity.cpu_milli();
+    Load += Worker.OwnMilliCores;
+    Capacity += Worker.Capacity.cpu_milli();
   }
-  return Room > 0 ? Taken / Room : 0;
+  return Capacity > 0 ? Load / Capacity : 0;
 }
 
 const LoadForecast *WorkerTable::forecastFor(const std::string &Pool) const {
-  auto Known = this->Forecasts.find(Pool);
-  bool Used = this->Options.UseForecasts && Known != this->Forecasts.end();
-  return Used ? &Known->second : nullptr;
+  auto PoolForecast = this->Forecasts.find(Pool);
+  bool Used =
+      this->Options.UseForecasts && PoolForecast != this->Forecasts.end();
+  return Used ? &PoolForecast->second : nullptr;
 }
 
 double WorkerTable::forecastOthersShare(const LeasedWorker &Worker,
-                                        const LoadForecast *Known,
+                                        const LoadForecast *PoolForecast,
                                         TimePoint Now) {
-  if (Worker.Room.cpu_milli() == 0)
+  if (Worker.Capacity.cpu_milli() == 0)
     return 0;
-  double LastHeard = reportedShareOf(Worker);
-  return Known == nullptr
-             ? LastHeard
-             : Known->shareAt(LastHeard, Now - Worker.StampReceived);
+  double Reported = reportedShareOf(Worker);
+  return PoolForecast == nullptr
+             ? Reported
+             : PoolForecast->shareAt(Reported, Now - Worker.StampReceived);
 }
 
 Forecast WorkerTable::forecastOthers(const LeasedWorker &Worker,
-                                     const LoadForecast *Known, TimePoint Now) {
-  if (Worker.Room.cpu_milli() == 0)
+                                     const LoadForecast *PoolForecast,
+                                     TimePoint Now) {
+  if (Worker.Capacity.cpu_milli() == 0)
     return {};
-  double LastHeard = reportedShareOf(Worker);
-  if (Known == nullptr)
-    return {LastHeard, 0};
-  return Known->at(LastHeard, Now - Worker.StampReceived);
+  double Reported = reportedShareOf(Worker);
+  if (PoolForecast == nullptr)
+    return {Reported, 0};
+  return PoolForecast->at(Reported, Now - Worker.StampReceived);
 }
 
 PlacementTarget WorkerTable::targetFor(const LeasedWorker &Worker,
                                        const LeasedJobRequest &Job,
-                                       const LoadForecast *Known,
+                                       const LoadForecast *PoolForecast,
                                        TimePoint Now) const {
   PlacementTarget Target;
-  Target.CapacityMilliCores = Worker.Room.cpu_milli();
-  Forecast Others = forecastOthers(Worker, Known, Now);
+  Target.CapacityMilliCores = Worker.Capacity.cpu_milli();
+  Forecast Others = forecastOthers(Worker, PoolForecast, Now);
   auto Milli = [&](double Share) {
     return static_cast<std::uint32_t>(
         std::lround(Share * Target.CapacityMilliCores));
   };
-  Target.LoadMilliCores = Milli(Others.Share) + Worker.OwnCpu;
+  Target.LoadMilliCores = Milli(Others.Share) + Worker.OwnMilliCores;
   Target.DeviationMilliCores = Milli(Others.Deviation);
   if (Job.MaxPerWorker > 0)
     Target.MaxTasks = Job.MaxPerWorker;
@@ -323,13 +329,13 @@
                     const std::set<std::string> &Avoid,
                     const std::map<std::string, std::uint32_t> &Placed,
                     bool OnlyStartingNow, TimePoint Now) {
-  const LoadForecast *Known = this->forecastFor(Job.Pool);
+  const LoadForecast *PoolForecast = this->forecastFor(Job.Pool);
   std::vector<LeasedWorker *> Candidates;
   std::vector<PlacementTarget> Targets;
   for (auto &[Name, Worker] : this->Workers) {
     if (!this->canTake(Worker, Job, Now) || Avoid.contains(Name))
       continue;
-    PlacementTarget Target = this->targetFor(Worker, Job, Known, Now);
+    PlacementTarget Target = this->targetFor(Worker, Job, PoolForecast, Now);
     Target.Worker = Candidates.size();
     if (auto Already = Placed.find(Name); Already != Placed.end())
       Target.MaxTasks -= std::min(Target.MaxTasks, Already->second);
@@ -356,8 +362,8 @@
                            std::size_t Count, TimePoint Now) {
   std::vector<const LeasedWorker *> Eligible;
   for (const auto &[Name, Worker] : this->Workers) {
-    bool Tried = Worker.Ejected || Worker.OnTrial;
-    if (!Tried && !Avoid.contains(Name) && this->canTake(Worker, Job, Now))
+    bool NeedsTrial = Worker.Ejected || Worker.OnTrial;
+    if (!NeedsTrial && !Avoid.contains(Name) && this->canTake(Worker, Job, Now))
       Eligible.push_back(&Worker);
   }
   std::vector<const LeasedWorker *> Drawn;
--- a/entry/worker_table.h
+++ b/entry/worker_table.h
@@ -63,9 +63,9 @@
   std::uint64_t Incarnation = 0;
   std::string Pool;
   std::set<std::string> Labels;
-  peer::TaskNeeds Room;
+  peer::TaskNeeds Capacity;
   /// Its agent has told of its room, which may change while it runs.
-  bool RoomReported = false;
+  bool CapacityReported = false;
   /// As control last told.
   peer::MemberState State = peer::MEMBER_UNSPECIFIED;
   bool Alive = false;
@@ -82,8 +82,8 @@
   /// When this life of it was last heard here; not yet if at the epoch.
   TimePoint LastHeard;
   /// Processor time that others hold there, as last told.
-  std::uint32_t OthersCpu = 0;
-  std::uint32_t OwnCpu = 0;
+  std::uint32_t OthersMilliCores = 0;
+  std::uint32_t OwnMilliCores = 0;
   std::uint32_t OwnTasks = 0;
 
   std::uint32_t FailuresInRow = 0;
@@ -125,8 +125,8 @@
 
   void onSent(const std::string &Agent, const peer::TaskNeeds &Needs);
   void onSettled(const std::string &Agent, const peer::TaskNeeds &Needs);
-  /// \param Ran How long the task has run.
-  void onSuccess(const std::string &Agent, std::chrono::milliseconds Ran);
+  /// \param RunTime How long the task has run.
+  void onSuccess(const std::string &Agent, std::chrono::milliseconds RunTime);
   /// \returns whether the worker has been ejected by it.
   bool onFailure(const std::string &Agent, TimePoint Now);
 
@@ -167,21 +167,24 @@
 
 private:
   /// Takes what a worker is said to hold for others, within what it can.
-  void setOthersCpu(LeasedWorker &Target, std::uint32_t Told);
+  void setOthersMilliCores(LeasedWorker &Target, std::uint32_t Reported);
   bool canTake(const LeasedWorker &Worker, const LeasedJobRequest &Job,
                TimePoint Now) const;
   /// \param Known The forecast of the worker's pool, from forecastFor.
   PlacementTarget targetFor(const LeasedWorker &Worker,
                             const LeasedJobRequest &Job,
-                            const LoadForecast *Known, TimePoint Now) const;
+                            const LoadForecast *PoolForecast,
+                            TimePoint Now) const;
   /// Nothing where nothing has been heard of the pool, or forecasts are off.
   const LoadForecast *forecastFor(const std::string &Pool) const;
   /// What others hold of a worker by now.
   static Forecast forecastOthers(const LeasedWorker &Worker,
-                                 const LoadForecast *Known, TimePoint Now);
+                                 const LoadForecast *PoolForecast,
+                                 TimePoint Now);
   /// The same without its deviation, for each worker with each job.
   static double forecastOthersShare(const LeasedWorker &Worker,
-                                    const LoadForecast *Known, TimePoint Now);
+                                    const LoadForecast *PoolForecast,
+                                    TimePoint Now);
   bool mayEjectOneMore(const std::string &Pool) const;
   /// \returns whether the worker may be and has been ejected.
   bool eject(LeasedWorker &Target, TimePoint Now);
--- a/tests/agent/worker_room_test.cpp
+++ b/tests/agent/worker_room_test.cpp
@@ -222,12 +222,12 @@
     Load.set_stamp(Stamp);
     Load.mutable_room()->set_cpu_milli(Cores * Core);
     Table.onLoadReport("a", Load, Now);
-    return Table.find("a")->Room.cpu_milli();
+    return Table.find("a")->Capacity.cpu_milli();
   };
   LONGS_EQUAL(2 * Core, Hear(20, 2));
   LONGS_EQUAL(2 * Core, Hear(10, 8));
   Table.update(Member, Now);
-  LONGS_EQUAL(2 * Core, Table.find("a")->Room.cpu_milli());
+  LONGS_EQUAL(2 * Core, Table.find("a")->Capacity.cpu_milli());
   LONGS_EQUAL(0, Hear(30, 0));
   LeasedJobRequest Job;
   Job.Pool = "pool";
--- a/tests/entry/coordinator_agents_test.cpp
+++ b/tests/entry/coordinator_agents_test.cpp
@@ -277,7 +277,8 @@
     pass(100ms);
     LONGS_EQUAL_TEXT(1, Coordinator.workerTable().workers().at("a").OwnTasks,
                      Row.Name);
-    LONGS_EQUAL_TEXT(1000, Coordinator.workerTable().workers().at("a").OwnCpu,
+    LONGS_EQUAL_TEXT(1000,
+                     Coordinator.workerTable().workers().at("a").OwnMilliCores,
                      Row.Name);
     answer(Sink.Dispatches.size() - 1, peer::LEASED_DONE);
     LONGS_EQUAL_TEXT(0, Coordinator.workerTable().workers().at("a").OwnTasks,
--- a/tests/entry/worker_table_test.cpp
+++ b/tests/entry/worker_table_test.cpp
@@ -69,7 +69,7 @@
     for (int I = 0; I < 8; ++I)
       addWorker(Table, fmt::format("empty-{}", I), 0);
     addWorker(Table, "loud", Row.OthersMilli);
-    Table.find("loud")->OwnCpu = 2000;
+    Table.find("loud")->OwnMilliCores = 2000;
     double Pressure = Table.pressure(job(), 0, Now);
     CHECK_TEXT(Pressure > 0 && Pressure < 1, Row.Name);
     for (const WorkerShare &Share : Table.divide(job(), 8, {}, {}, false, Now))
