--- a/entry/crash_record.cpp
+++ b/entry/crash_record.cpp
@@ -24,19 +24,20 @@
 void CrashRecord::onWorkerLost(const std::string &Job, std::uint32_t Index,
                                const std::string &Agent,
                                std::uint64_t Incarnation, TimePoint Now) {
-  // Its crash has named the tasks that may be the cause, and not this one.
-  WorkerIncarnation Life{Agent, Incarnation};
-  if (!this->Crashes.contains(Life))
-    this->touch({Job, Index}, Now).Lost.insert(std::move(Life));
+  // If the crash of this incarnation is already known, its report has named the
+  // tasks that may be the cause, and this task is not among them.
+  WorkerIncarnation Worker{Agent, Incarnation};
+  if (!this->Crashes.contains(Worker))
+    this->touch({Job, Index}, Now).Lost.insert(std::move(Worker));
 }
 
 std::vector<std::string>
 CrashRecord::onWorkerCrashed(const std::string &Agent,
                              const peer::WorkerCrash &Crash, TimePoint Now) {
-  WorkerIncarnation Life{Agent, Crash.incarnation()};
-  // An agent tells each crash many times.
-  bool AlreadyReported = this->Crashes.contains(Life);
-  this->Crashes[Life] = Now;
+  WorkerIncarnation Worker{Agent, Crash.incarnation()};
+  // An agent reports each crash many times.
+  bool AlreadyReported = this->Crashes.contains(Worker);
+  this->Crashes[Worker] = Now;
   if (AlreadyReported)
     return {};
   std::set<TaskKey> Named;
@@ -45,14 +46,14 @@
     TaskKey Name{Task.job(), Task.index()};
     Named.insert(Name);
     TaskRecord &Known = this->touch(Name, Now);
-    Known.Lost.insert(Life);
-    Known.Crashed.insert(Life);
+    Known.Lost.insert(Worker);
+    Known.Crashed.insert(Worker);
     Known.StartedLast += Task.started_last() ? 1 : 0;
     Settled.insert(Name.Job);
   }
-  // The cause is among those named; whatever else ran there is cleared.
+  // The cause is among the named tasks; all others that ran there are cleared.
   for (auto &[Name, Known] : this->Tasks)
-    if (!Named.contains(Name) && Known.Lost.erase(Life) > 0)
+    if (!Named.contains(Name) && Known.Lost.erase(Worker) > 0)
       Settled.insert(Name.Job);
   return {Settled.begin(), Settled.end()};
 }
@@ -80,8 +81,8 @@
     if (this->judge(It->second) != CrashVerdict::Abandoned)
       continue;
     std::string Agents;
-    for (const WorkerIncarnation &Life : It->second.Crashed)
-      Agents += (Agents.empty() ? "" : ", ") + Life.Agent;
+    for (const WorkerIncarnation &Worker : It->second.Crashed)
+      Agents += (Agents.empty() ? "" : ", ") + Worker.Agent;
     return fmt::format("task {} has crashed the upstreams of {}",
                        It->first.Index, Agents);
   }
--- a/entry/crash_record.h
+++ b/entry/crash_record.h
@@ -1,13 +1,14 @@
-//===- entry/crash_record.h - Tasks under which workers crash ---*- C++ -*-===//
+//===- entry/crash_record.h - Tasks that crash workers ----------*- C++ -*-===//
 ///
 /// \file
-/// Counts the workers that were lost while a task ran there, and tells whether
+/// Counts the workers that were lost while running a task, and decides whether
 /// the task may be placed again.
 ///
-/// Load pattern: some tasks crash each worker that starts them. Without a count
-/// each of them takes out one worker after the other, with the tasks of others
-/// on it, until its job's time is over. A worker that was lost may also only be
-/// cut off; that it crashed is known once its next life has announced itself.
+/// Load pattern: some tasks crash every worker that starts them. Without a
+/// count, such a task takes down one worker after the other, together with the
+/// tasks of other jobs on it, until its job's deadline. A lost worker may also
+/// just be cut off; that it crashed is known only once its next incarnation has
+/// announced itself.
 ///
 //===----------------------------------------------------------------------===//
 #ifndef YARDWHEEL_ENTRY_CRASH_RECORD_H
@@ -26,26 +27,29 @@
 namespace yardwheel {
 
 enum class CrashVerdict {
-  /// It may be placed.
+  /// The task may be placed.
   Allowed,
-  /// As many workers were lost under it as may crash under a task. Whether all
-  /// have is not known yet, so it is not placed.
+  /// As many workers were lost while running the task as may crash with it. It
+  /// isn't known yet whether all of them crashed, so the task isn't placed.
   OnHold,
-  /// That many have crashed. It is given up.
+  /// As many workers as allowed have crashed; the task is abandoned.
   Abandoned,
 };
 
 struct CrashRecordOptions {
-  /// Workers that may crash under a task that was started last on each of them:
-  /// what ran there before had not crashed it until then.
+  /// Number of crashed workers on which the task was the last one started after
+  /// which it is abandoned: the tasks started before it had not crashed the
+  /// worker until then.
   std::size_t MaxCrashesStartedLast = 2;
-  /// Workers that may crash under any task. Who only ran beside the cause,
-  /// twice, is placed once more.
+  /// Number of workers that crashed while running the task after which it is
+  /// abandoned, whether or not it was started last. A task that twice merely
+  /// ran beside the cause is placed once more.
   std::size_t MaxCrashesAnyTask = 3;
   /// How long a task is remembered: longer than any job's deadline (17 s).
   std::chrono::milliseconds Retention{30000};
-  /// Tasks remembered at most, the longest unused go first. At 10 crashes a
-  /// second of 10 tasks each, those of more than the memory's time.
+  /// Maximum number of remembered tasks; the least recently used are dropped
+  /// first. Enough for more than the retention at 10 crashes per second with 10
+  /// tasks each.
   std::size_t MaxTasks = 4000;
 };
 
@@ -53,19 +57,20 @@
 public:
   explicit CrashRecord(CrashRecordOptions Options = {}) : Options(Options) {}
 
-  /// A task's run has ended because its worker could not be reached any more.
+  /// Records that a run of the task ended because its worker became
+  /// unreachable.
   void onWorkerLost(const std::string &Job, std::uint32_t Index,
                     const std::string &Agent, std::uint64_t Incarnation,
                     TimePoint Now);
-  /// A life of a worker has crashed. \returns jobs of which that has settled a
-  /// task's verdict.
+  /// Records that an incarnation of a worker has crashed. \returns the jobs
+  /// with tasks whose verdict is settled by this.
   std::vector<std::string> onWorkerCrashed(const std::string &Agent,
                                            const peer::WorkerCrash &Crash,
                                            TimePoint Now);
 
   CrashVerdict verdict(const std::string &Job, std::uint32_t Index) const;
-  /// A task of the job that is given up, and the workers that have crashed
-  /// under it, for logs and callers; empty if there is none.
+  /// Describes an abandoned task of the job and the workers that crashed while
+  /// running it, for logs and callers. \returns an empty text if there is none.
   std::string describeAbandoned(const std::string &Job) const;
   std::size_t tasks() const { return this->Tasks.size(); }
   void sweep(TimePoint Now);
@@ -88,10 +93,11 @@
     }
   };
   struct TaskRecord {
-    /// Lives that were lost under it, and of these, those that have crashed.
+    /// Incarnations that were lost while running the task, and those of them
+    /// that have crashed.
     std::set<WorkerIncarnation> Lost;
     std::set<WorkerIncarnation> Crashed;
-    /// Of these, the number on which it was started last.
+    /// Number of crashed incarnations on which the task was started last.
     std::size_t StartedLast = 0;
     TimePoint LastUsed;
   };
@@ -101,7 +107,7 @@
 
   CrashRecordOptions Options;
   std::map<TaskKey, TaskRecord> Tasks;
-  /// Crashes that have been accounted for, and when they were last told.
+  /// Crashes that have been counted, with the time of their last report.
   std::map<WorkerIncarnation, TimePoint> Crashes;
 };
 
--- a/entry/drain_watch.h
+++ b/entry/drain_watch.h
@@ -1,8 +1,8 @@
-//===- entry/drain_watch.h - When a draining entry may end ------*- C++ -*-===//
+//===- entry/drain_watch.h - When draining is complete ----------*- C++ -*-===//
 ///
 /// \file
-/// Tells when callers have moved away from an entry that shuts down, so that
-/// it can end, and be back, sooner than its grace allows.
+/// Determines when callers have moved away from an entry that shuts down, so
+/// that it can exit, and restart, before its drain timeout.
 ///
 //===----------------------------------------------------------------------===//
 #ifndef YARDWHEEL_ENTRY_DRAIN_WATCH_H
@@ -15,13 +15,13 @@
 namespace yardwheel {
 
 struct DrainOptions {
-  /// How long the balancer may still send new connections here: it takes two
-  /// checks, a second apart, to see that this process is not ready.
+  /// How long the balancer may still send new connections: it needs two checks,
+  /// a second apart, to notice that this process isn't ready.
   std::chrono::milliseconds BalancerNoticeTime{2200};
-  /// How long nothing must have been submitted or in flight after that. Busy
-  /// callers submit several times as often.
+  /// How long there must be no submissions and no jobs in flight after that.
+  /// Busy callers submit several times in this period.
   std::chrono::milliseconds QuietPeriod{400};
-  /// Callers that stay are served for this long.
+  /// Maximum time for which remaining callers are served.
   std::chrono::milliseconds MaxDrain{4000};
 };
 
@@ -30,9 +30,9 @@
   DrainWatch(DrainOptions Options, TimePoint Start)
       : Options(Options), Start(Start), LastBusy(Start) {}
 
-  /// \param Submissions Read since the process began, refused ones too.
-  /// \param InFlight Jobs whose callers wait.
-  /// \returns whether submissions need no longer be taken.
+  /// \param Submissions Number of submissions read since the process started,
+  /// including refused ones. \param InFlight Jobs whose callers are waiting.
+  /// \returns whether the entry may stop accepting submissions.
   bool isOver(std::uint64_t Submissions, std::size_t InFlight, TimePoint Now);
 
 private:
--- a/entry/ended_jobs.h
+++ b/entry/ended_jobs.h
@@ -1,9 +1,9 @@
-//===- entry/ended_jobs.h - Ids that must not run again ---------*- C++ -*-===//
+//===- entry/ended_jobs.h - Ids of jobs that have ended ---------*- C++ -*-===//
 ///
 /// \file
-/// What is left of a job once its answer is no longer kept: its key and the
-/// hash of its content, for as long as the ledger knows the id. A record
-/// takes a tenth of a job's memory.
+/// Remembers the keys and content hashes of jobs whose answers are no longer
+/// stored, for as long as the ledger knows their ids. Such a record takes a
+/// tenth of a job's memory.
 ///
 //===----------------------------------------------------------------------===//
 #ifndef YARDWHEEL_ENTRY_ENDED_JOBS_H
@@ -22,10 +22,11 @@
 
 class EndedJobs {
 public:
-  /// Keeps a key until \p Forget. Calls come in about the order of that time.
+  /// Keeps a key until \p ForgetAt. Keys must be added roughly in the order of
+  /// that time.
   void add(const std::string &Key, std::uint64_t Fingerprint,
            TimePoint ForgetAt);
-  /// The content's hash, if the key is known.
+  /// Returns the content hash of the job if its key is known.
   std::optional<std::uint64_t> find(const std::string &Key) const;
   void expire(TimePoint Now);
   std::size_t size() const { return this->Fingerprints.size(); }
--- a/entry/lease_coordinator_intake.cpp
+++ b/entry/lease_coordinator_intake.cpp
@@ -101,10 +101,10 @@
 
 bool LeaseCoordinator::shed(const LeasedJobRequest &Request, LeaseTicket Waiter,
                             Instant Now) {
-  double CoreMillis = static_cast<double>(Request.Needs.cpu_milli()) *
-                      Request.TaskCount *
-                      static_cast<double>(Request.Estimate.count()) / 1000;
-  this->Shedder.onOffered(Request.Route, CoreMillis, Now.Steady);
+  double CoreMilliseconds =
+      static_cast<double>(Request.Needs.cpu_milli()) * Request.TaskCount *
+      static_cast<double>(Request.Estimate.count()) / 1000;
+  this->Shedder.onOffered(Request.Route, CoreMilliseconds, Now.Steady);
   double Pressure =
       this->Workers.pressure(Request, this->awaitingCpu(), Now.Steady);
   this->Shedder.onPressure(Pressure, Now.Steady);
--- a/entry/lease_metrics.h
+++ b/entry/lease_metrics.h
@@ -2,7 +2,8 @@
 ///
 /// \file
 /// Response times and slowdowns of best-effort jobs by route, and how they
-/// ended. For the loop's thread; the text is handed to other threads.
+/// ended. Not thread-safe: used on the event loop's thread, which passes the
+/// text to other threads.
 ///
 //===----------------------------------------------------------------------===//
 #ifndef YARDWHEEL_ENTRY_LEASE_METRICS_H
@@ -23,14 +24,14 @@
                std::chrono::microseconds Response,
                std::chrono::milliseconds Objective);
 
-  /// Everything in Prometheus' text format.
+  /// Returns all metrics in the Prometheus text format.
   std::string text() const;
 
 private:
   struct Series {
     Series();
     LogHistogram Response;
-    /// Response time over the job's objective; above 1 it was late.
+    /// Response time divided by the job's objective; above 1 the job was late.
     LogHistogram OverObjective;
     std::map<std::string, std::uint64_t> Ends;
   };
--- a/entry/leased_job.h
+++ b/entry/leased_job.h
@@ -1,9 +1,9 @@
 //===- entry/leased_job.h - Best-effort jobs at an entry --------*- C++ -*-===//
 ///
 /// \file
-/// A best-effort job is one step of equal tasks. Nothing of it is stored: the
-/// entry that took it coordinates it, and its tasks run only while that entry
-/// renews its leases at their agents.
+/// A best-effort job is one step of identical tasks. It is never persisted: the
+/// entry that accepted it coordinates it, and its tasks run only while that
+/// entry renews its leases at their agents.
 ///
 //===----------------------------------------------------------------------===//
 #ifndef YARDWHEEL_ENTRY_LEASED_JOB_H
@@ -18,10 +18,10 @@
 
 namespace yardwheel {
 
-/// Names one caller's wait for an answer, given by whoever waits.
+/// Identifies a caller that waits for the answer; assigned by the waiting side.
 using LeaseTicket = std::uint64_t;
 
-/// A best-effort job after all checks of its form.
+/// A best-effort job whose request has been validated.
 struct LeasedJobRequest {
   std::string Id;
   std::string Route;
@@ -30,44 +30,45 @@
   std::string Spec;
   std::uint32_t TaskCount = 0;
   peer::TaskNeeds Needs;
-  /// A task's declared run time; a hint that may be far off.
+  /// Declared run time of a task; a hint that may be far off.
   std::chrono::milliseconds Estimate{};
-  /// A label that a worker must have; empty asks for none.
+  /// Label that a worker must have; empty if none is required.
   std::string RequiredLabel;
-  /// A rack on which the tasks run faster; empty if none does.
+  /// Rack on which the tasks run faster; empty if there is no preference.
   std::string PreferredRack;
-  /// Most tasks on one worker; 0 sets no bound.
+  /// Maximum number of tasks on one worker; 0 means no limit.
   std::uint32_t MaxPerWorker = 0;
-  /// Failed runs of a task after which the job has failed.
+  /// Number of failed runs of one task after which the job fails.
   std::uint32_t MaxAttempts = 1;
-  /// From the hand-in until the answer is late.
+  /// Time from the submission after which the answer counts as late.
   std::chrono::milliseconds Objective{};
-  /// From the hand-in until the caller no longer waits.
+  /// Time from the submission after which the caller no longer waits.
   std::chrono::milliseconds Deadline{};
 };
 
 enum class LeasedEnd {
-  /// Every task is done.
+  /// All tasks have completed.
   Completed,
-  /// A task has failed as often as it may.
+  /// A task has failed MaxAttempts times.
   Failed,
-  /// Given up; no task of the job has started or will.
+  /// Abandoned; no task of the job has started or will start.
   NotRun,
-  /// Given up; a task may have started.
+  /// Abandoned; a task may have started.
   Unknown,
 };
 
-/// An end's name in logs and metrics.
+/// Returns the name of an end as used in logs and metrics.
 const char *endName(LeasedEnd End);
 
 struct LeasedAnswer {
   LeasedEnd End = LeasedEnd::Unknown;
-  /// The step at which the job ended, for logs and error bodies.
+  /// Processing step at which the job ended, for logs and error bodies.
   std::string Step;
-  /// The agent concerned; may be empty.
+  /// The agent involved; may be empty.
   std::string Peer;
   std::string Reason;
-  /// When to hand the job in again; 0 says nothing.
+  /// How long the caller should wait before it resubmits the job; 0 gives no
+  /// advice.
   std::chrono::milliseconds RetryAfter{};
 };
 
--- a/entry/load_shedder.h
+++ b/entry/load_shedder.h
@@ -1,13 +1,14 @@
-//===- entry/load_shedder.h - Which jobs to refuse under overload -*- C++ -*-=//
+//===- entry/load_shedder.h - Load shedding by route ------------*- C++ -*-===//
 ///
 /// \file
-/// While upstreams are short, every job that is taken delays others, and most
-/// of them then miss their objectives together. So jobs are refused at once,
-/// and truthfully, once the room that is taken passes a limit.
+/// While upstreams are overloaded, every job that is accepted delays the
+/// others, until most of them miss their objectives together. Jobs are
+/// therefore refused immediately once the ratio of used to total capacity
+/// exceeds a limit.
 ///
-/// All routes count the same to an operator who has set no weights. A route
-/// that offers more work therefore earns less for each core-second, and has a
-/// lower limit: it is shed first.
+/// Without weights set by an operator, all routes have the same value. A route
+/// that submits more work therefore earns less per core-second and gets a lower
+/// limit: it is shed first.
 ///
 //===----------------------------------------------------------------------===//
 #ifndef YARDWHEEL_ENTRY_LOAD_SHEDDER_H
@@ -21,22 +22,21 @@
 namespace yardwheel {
 
 struct ShedderOptions {
-  /// Taken room, running or waiting, over all room, at which the route with
-  /// the most work is shed. Just above 1: a little waits while the rest of
-  /// the room is handed on.
+  /// Ratio of used capacity (running or waiting) to total capacity at which the
+  /// route with the most work is shed. Above 1, so that a few tasks wait while
+  /// freed capacity is reassigned.
   double BusiestRouteLimit = 1.3;
-  /// What that limit falls to while the workers stay full: a queue that lasts
-  /// makes all jobs wait and none sooner done. Just above 1, where the room is
-  /// always in use. With 70 workers at 1.08 times their room jobs earned 0.910
-  /// of their credit in place of 0.875 (virtual time).
+  /// Value to which that limit falls while the workers stay full: a persistent
+  /// queue makes all jobs wait and none finish sooner. Just above 1, where the
+  /// capacity is always in use.
   double SustainedLimit = 1.1;
-  /// Time over which the share of taken room is averaged to tell a queue that
-  /// lasts from a burst, which is worth waiting out.
+  /// Time over which the ratio of used to total capacity is averaged to tell a
+  /// persistent queue from a burst, which is worth waiting out.
   std::chrono::milliseconds PressureWindow{1500};
-  /// The same for a route with hardly any work.
+  /// Limit of a route with hardly any work.
   double MaxRouteLimit = 2.2;
-  /// Time over which a route's work is averaged; longer than a burst, which
-  /// must not make its own route the first to be shed.
+  /// Time over which a route's work is averaged. Longer than a burst, so that a
+  /// burst doesn't make its own route the first to be shed.
   std::chrono::milliseconds LoadWindow{20000};
 };
 
@@ -44,23 +44,26 @@
 public:
   explicit LoadShedder(ShedderOptions Options) : Options(Options) {}
 
-  /// A job of a route has been handed in. \param CoreMillis Its work.
-  void onOffered(const std::string &Route, double CoreMillis, TimePoint Now);
+  /// Records a submitted job of a route. \param CoreMilliseconds Its work, as
+  /// processor time.
+  void onOffered(const std::string &Route, double CoreMilliseconds,
+                 TimePoint Now);
 
-  /// The share of taken room has been looked at.
+  /// Records a sample of the ratio of used to total capacity.
   void onPressure(double Pressure, TimePoint Now);
 
-  /// The share of taken room from which the route's jobs are refused.
+  /// Returns the ratio of used to total capacity above which the route's jobs
+  /// are refused.
   double limitFor(const std::string &Route, TimePoint Now) const;
 
 private:
   struct RouteLoad {
-    double CoreMillis = 0;
+    double CoreMilliseconds = 0;
     TimePoint Updated;
   };
   double loadOf(const RouteLoad &Known, TimePoint Now) const;
 
-  /// The limit of the route with the most work.
+  /// Returns the limit of the route with the most work.
   double busiestRouteLimit() const;
 
   ShedderOptions Options;
--- a/entry/readiness.cpp
+++ b/entry/readiness.cpp
@@ -3,9 +3,9 @@
 namespace yardwheel {
 
 bool Readiness::update(const ReadinessFacts &Facts, TimePoint Now) {
-  bool LacksTable = this->isTableUnknownTooLong(Facts.Table, Now);
+  bool TableUnknown = this->isTableUnknownTooLong(Facts.Table, Now);
   return Facts.HasRoutes && Facts.HasWorkers && Facts.KeepsUp &&
-         !Facts.Draining && !LacksTable;
+         !Facts.Draining && !TableUnknown;
 }
 
 bool Readiness::isTableUnknownTooLong(TableState Table, TimePoint Now) {
--- a/entry/readiness.h
+++ b/entry/readiness.h
@@ -1,11 +1,12 @@
-//===- entry/readiness.h - Whether the balancer sends callers ---*- C++ -*-===//
+//===- entry/readiness.h - Readiness for the balancer -----------*- C++ -*-===//
 ///
 /// \file
-/// Decides whether an entry asks its balancer for callers.
+/// Decides whether an entry reports itself ready to its load balancer.
 ///
-/// Load pattern: an entry that would refuse its callers while others have room.
-/// The balancer asks once a second and needs two misses, so spells shorter than
-/// its own are no reason to leave, and cost callers their nearest entry.
+/// Load pattern: an entry that would refuse its callers while other entries
+/// could serve them. The balancer checks once a second and needs two failed
+/// checks, so shorter disturbances are no reason to leave, and would cost
+/// callers their nearest entry.
 ///
 //===----------------------------------------------------------------------===//
 #ifndef YARDWHEEL_ENTRY_READINESS_H
@@ -19,20 +20,20 @@
 
 namespace yardwheel {
 
-/// What an entry knows of itself.
+/// The state of an entry that its readiness depends on.
 struct ReadinessFacts {
   bool HasRoutes = false;
-  /// Cut off from all workers, an entry is of no use.
+  /// An entry that is cut off from all workers can't run jobs.
   bool HasWorkers = false;
-  /// Whether it reads its input in time.
+  /// Whether the entry reads its input in time.
   bool KeepsUp = false;
   bool Draining = false;
   TableState Table = TableState::Unknown;
 };
 
 struct ReadinessOptions {
-  /// For how long the table may be unknown: as long as the balancer takes from
-  /// one question to the next.
+  /// How long the table's state may be unknown: the interval between two checks
+  /// of the balancer.
   std::chrono::milliseconds MaxUnknownTable{1000};
 };
 
@@ -40,11 +41,13 @@
 public:
   explicit Readiness(ReadinessOptions Options = {}) : Options(Options) {}
 
-  /// To be called at each tick. \returns whether callers should come here.
+  /// Updates the state; must be called at each tick. \returns whether the entry
+  /// is ready for callers.
   bool update(const ReadinessFacts &Facts, TimePoint Now);
 
 private:
-  /// Whether all jobs have been refused for a while, as the table may be old.
+  /// Whether the table's state has been unknown, and all jobs thus refused, for
+  /// too long.
   bool isTableUnknownTooLong(TableState Table, TimePoint Now);
 
   ReadinessOptions Options;
--- a/entry/recent_ids.h
+++ b/entry/recent_ids.h
@@ -1,8 +1,8 @@
-//===- entry/recent_ids.h - Jobs that were taken of late --------*- C++ -*-===//
+//===- entry/recent_ids.h - Recently accepted jobs --------------*- C++ -*-===//
 ///
 /// \file
-/// Remembers for some seconds which jobs this entry has taken. A second
-/// hand-in of one of them must not be told that it has not run.
+/// Remembers for a few seconds which jobs this entry has accepted. A caller
+/// that submits one of them again must not be told that it hasn't run.
 ///
 //===----------------------------------------------------------------------===//
 #ifndef YARDWHEEL_ENTRY_RECENT_IDS_H
@@ -16,10 +16,10 @@
 
 namespace yardwheel {
 
-/// For any thread.
+/// Set of recently accepted job ids. Thread-safe.
 class RecentIds {
 public:
-  /// \param Retention How long an id is remembered, at least.
+  /// \param Retention Minimum time for which an id is remembered.
   explicit RecentIds(std::chrono::milliseconds Retention)
       : Retention(Retention) {}
 
@@ -29,7 +29,7 @@
 private:
   std::chrono::milliseconds Retention;
   mutable std::mutex Mutex;
-  /// Two spans of time: what is older than both is forgotten at once.
+  /// Ids of two consecutive periods. Ids older than both are dropped at once.
   std::unordered_set<std::string> Current;
   std::unordered_set<std::string> Previous;
   TimePoint CurrentStart;
--- a/entry/self_load.cpp
+++ b/entry/self_load.cpp
@@ -10,7 +10,7 @@
     return !NotReady;
   if (NotReady)
     return false;
-  // Soon after the last time, the pause was too short.
+  // Overloaded again soon after the last pause: the pause was too short.
   bool TooSoon =
       this->Pause.count() > 0 && Now - this->NotReadyUntil < this->Pause;
   this->Pause = TooSoon ? std::min(2 * this->Pause, this->Options.MaxPause)
--- a/entry/self_load.h
+++ b/entry/self_load.h
@@ -1,13 +1,13 @@
-//===- entry/self_load.h - Whether this entry keeps up ----------*- C++ -*-===//
+//===- entry/self_load.h - Overload of this entry ---------------*- C++ -*-===//
 ///
 /// \file
-/// Decides whether an entry may take jobs and whether the balancer should send
-/// it callers, by how long ago it last had nothing left to do.
+/// Decides whether an entry accepts jobs and whether the load balancer should
+/// send it callers, based on the time since its event loop was last idle.
 ///
-/// Load pattern: a host that turns several times slower, or an uneven share of
-/// callers. What is taken then waits unread until its callers have gone, and
-/// costs the time that jobs under way need. A refusal costs a fraction of a
-/// job, and the callers' next attempt reaches another entry.
+/// Load pattern: a host that becomes several times slower, or an uneven share
+/// of callers. Requests accepted then wait unread until their callers have
+/// left, and consume the time that jobs in progress need. A refusal costs a
+/// fraction of a job, and the caller's next attempt reaches another entry.
 ///
 //===----------------------------------------------------------------------===//
 #ifndef YARDWHEEL_ENTRY_SELF_LOAD_H
@@ -18,20 +18,22 @@
 namespace yardwheel {
 
 struct SelfLoadOptions {
-  /// Off only to compare.
+  /// Switched off only for comparison.
   bool Enabled = true;
-  /// Without an idle moment for this long, new jobs are refused. Above the
-  /// longest busy periods of an entry that keeps up at nine tenths of its
-  /// processor time (some 50 ms), and below what a short job can wait.
+  /// New jobs are refused after this time without an idle moment. Longer than
+  /// the longest busy periods of an entry that keeps up at nine tenths of its
+  /// processor time (about 50 ms), and shorter than what a short job can wait.
   std::chrono::milliseconds RefuseAfter{150};
-  /// The same for the balancer: callers are sent elsewhere for a while. The
-  /// balancer needs seconds to notice, so shorter spells are no reason.
+  /// After this time without an idle moment, the balancer is told to send
+  /// callers elsewhere for a while. The balancer needs seconds to notice, so
+  /// shorter busy periods don't count.
   std::chrono::milliseconds NotReadyAfter{500};
-  /// How long callers are sent elsewhere; doubles if it was too short.
+  /// How long callers are sent elsewhere; doubles up to MaxPause if the entry
+  /// is soon overloaded again.
   std::chrono::milliseconds MinPause{2000};
   std::chrono::milliseconds MaxPause{8000};
-  /// After this process was behind, for how long requests may be read that
-  /// have waited until their callers went.
+  /// How long after this process was behind it may still read requests that
+  /// waited until their callers left.
   std::chrono::milliseconds LateReadPeriod{3000};
 };
 
@@ -39,28 +41,29 @@
 public:
   explicit SelfLoad(SelfLoadOptions Options) : Options(Options) {}
 
-  /// Whether a new job should be refused; for any thread.
-  /// \param LastIdle When there was last nothing left to do.
+  /// Whether a new job should be refused. Thread-safe. \param LastIdle When the
+  /// event loop was last idle.
   bool isBehind(TimePoint Now, TimePoint LastIdle) const {
     return this->Options.Enabled && Now - LastIdle > this->Options.RefuseAfter;
   }
 
-  /// Whether the balancer should send callers elsewhere at once; for any
-  /// thread, as the loop itself may not come to it.
+  /// Whether the balancer should immediately send callers elsewhere.
+  /// Thread-safe, since the event loop itself may be too busy to decide it.
   bool isOverloaded(TimePoint Now, TimePoint LastIdle) const {
     return this->Options.Enabled &&
            Now - LastIdle > this->Options.NotReadyAfter;
   }
 
-  /// Whether a request read now may have waited here for long; for any thread.
-  /// \param LastBehind Until when this process did not keep up with its input.
+  /// Whether a request that is read now may have waited here for long.
+  /// Thread-safe. \param LastBehind Until when this process did not keep up
+  /// with its input.
   bool mayReadStale(TimePoint Now, TimePoint LastBehind) const {
     return this->Options.Enabled && LastBehind != TimePoint::min() &&
            Now - LastBehind < this->Options.LateReadPeriod;
   }
 
-  /// On the loop's thread, at each tick. \returns whether callers should be
-  /// sent here.
+  /// Updates the pause. Must be called on the event loop's thread, at each
+  /// tick. \returns whether the balancer should send callers here.
   bool mayBeReady(TimePoint Now, TimePoint LastIdle);
 
 private:
--- a/entry/table_lease.cpp
+++ b/entry/table_lease.cpp
@@ -23,8 +23,9 @@
 }
 
 bool TableLease::isLeaderUnreachable(TimePoint Now) const {
-  // That one replica refuses or is silent says nothing of the others: an old
-  // table was served for 7 s while the larger half of control took changes.
+  // All replicas must have been asked: that one refuses or doesn't answer says
+  // nothing about the others. An old table was once served for 7 s while the
+  // majority of control accepted changes.
   TimePoint Since = this->NoLeaderSince.load();
   return Since != TimePoint::min() && Now - Since <= this->Options.MaxAge;
 }
@@ -41,7 +42,7 @@
     return Result;
   auto Age = std::chrono::duration_cast<std::chrono::milliseconds>(Now - Last);
   Result.Age = Age;
-  // What a peer has newer came into force less than this age ago.
+  // A newer revision at a peer came into force less than this age ago.
   if (Age <= this->Options.MaxAge)
     Result.State = TableState::Current;
   else if (!Result.NewerKnown &&
--- a/entry/table_lease.h
+++ b/entry/table_lease.h
@@ -1,11 +1,11 @@
-//===- entry/table_lease.h - How old a route table may be -------*- C++ -*-===//
+//===- entry/table_lease.h - Age of the route table -------------*- C++ -*-===//
 ///
 /// \file
-/// Tells how long ago the route table held here was known to be the newest,
-/// and whether requests may be decided by it.
+/// Tracks how long ago the route table held here was known to be the newest
+/// one, and whether requests may be decided by it.
 ///
-/// A table proves nothing about its own age: while an entry does not read its
-/// input, or control does not answer, a newer one may be in force elsewhere.
+/// A table can't prove its own age: while an entry doesn't read its input, or
+/// control doesn't answer, a newer table may be in force elsewhere.
 ///
 //===----------------------------------------------------------------------===//
 #ifndef YARDWHEEL_ENTRY_TABLE_LEASE_H
@@ -20,64 +20,70 @@
 namespace yardwheel {
 
 enum class TableState {
-  /// Was the newest within the age allowed.
+  /// The table was the newest one within the maximum age.
   Current,
-  /// May be older, and news of a newer one may lie here unread or be missing.
+  /// The table may be outdated, and news of a newer one may be unread or
+  /// missing.
   Unknown,
-  /// May be older, but this process reads all that comes, and each control
-  /// replica was asked of late: none leads that can be reached from here.
+  /// The table may be outdated, but this process reads all of its input and has
+  /// recently asked each control replica: none of those that can be reached
+  /// from here leads.
   Unreachable,
 };
 
-/// For logs.
+/// Returns the name of a state, for logs.
 const char *tableStateName(TableState State);
 
 struct TableStatus {
   TableState State = TableState::Unknown;
-  /// Since the table was last known to be the newest; nothing if it never was.
+  /// Time since the table was last known to be the newest; none if it never
+  /// was.
   std::optional<std::chrono::milliseconds> Age;
-  /// A peer has a newer configuration in force than is held here.
+  /// Whether a peer has a newer configuration in force than the one held here.
   bool NewerKnown = false;
 
-  /// For logs and metrics; -1 where there is no age.
+  /// Age in milliseconds for logs and metrics; -1 if there is none.
   std::int64_t ageMillis() const { return this->Age ? this->Age->count() : -1; }
 };
 
 struct TableLeaseOptions {
-  /// Up to this age a table is taken for the newest.
+  /// Maximum age at which the table still counts as the newest.
   std::chrono::milliseconds MaxAge{1750};
-  /// After this long without reading all of its input, news may lie here
-  /// unread. A busy entry has many shorter spells.
+  /// If this process hasn't read all of its input for longer than this, news
+  /// may be unread. Shorter stalls are common in a busy entry.
   std::chrono::milliseconds MaxInputStall{500};
 };
 
-/// The loop's thread writes; any thread reads.
+/// Tracks the age of the route table. Written by the event loop's thread; may
+/// be read by any thread.
 class TableLease {
 public:
   explicit TableLease(TableLeaseOptions Options) : Options(Options) {}
 
-  /// To be called often.
+  /// Records that the event loop is running. Must be called frequently.
   void tick(TimePoint Now) { this->LastTick.store(Now); }
-  /// Each control replica was asked at \p Since or later whether this table is
-  /// the newest, and none answered as leader; the least time if that cannot be
-  /// said.
+  /// Records that each control replica was asked at \p Since or later whether
+  /// this table is the newest, and that none answered as leader;
+  /// TimePoint::min() if that can't be said.
   void setNoLeaderSince(TimePoint Since) { this->NoLeaderSince.store(Since); }
-  /// Control has answered a question: the table was the newest some time
-  /// after the question was sent.
+  /// Records an answer of control: the table was the newest one at some time
+  /// after the request was sent at \p Asked.
   void confirm(TimePoint Asked);
-  /// The configuration held here is of this revision.
+  /// Sets the revision of the configuration held here.
   void setHeldRevision(std::uint64_t Revision) {
     this->HeldRevision.store(Revision);
   }
-  /// A peer has a revision in force.
+  /// Records the revision that a peer has in force.
   void onPeerRevision(std::uint64_t Revision);
 
-  /// To be read before the table: the table is then at least as new.
-  /// \param LastIdle When this process last had read all of its input.
+  /// Returns the table's status. Must be called before the table is read, which
+  /// is then at least as new. \param LastIdle When this process had last read
+  /// all of its input.
   TableStatus status(TimePoint Now, TimePoint LastIdle) const;
 
 private:
-  /// Whether all of control has been asked in vain of late.
+  /// Whether all control replicas were asked recently and none answered as
+  /// leader.
   bool isLeaderUnreachable(TimePoint Now) const;
 
   TableLeaseOptions Options;
--- a/entry/worker_table.cpp
+++ b/entry/worker_table.cpp
@@ -11,18 +11,21 @@
 
 constexpr std::uint32_t Percent = 100;
 
-/// Two hosts' steady clocks differ by less than this share of the time that
-/// passes. What a clock of a computer keeps to is a thousandth of it.
+/// Upper bound on the drift between the steady clocks of two hosts, as a share
+/// of the elapsed time. Computer clocks usually stay within a thousandth.
 constexpr std::int64_t ClockDriftPercent = 2;
-/// Beyond this a stamp is not carried on: the agent is asked for a new one.
+/// A stamp older than this isn't extrapolated; the agent is probed for a new
+/// one.
 constexpr std::chrono::milliseconds MaxStampAge{5000};
 
-/// What a worker may be said to hold for others, in times its room: its runs
-/// and a queue. More is a mistake of its agent, and must neither close the pool
-/// nor go over the end of what placement adds up.
+/// Maximum load of other entries that a worker may report, as a multiple of its
+/// capacity: running tasks and a queue. A higher value is an error of its
+/// agent. It must neither make the whole pool look overloaded nor overflow the
+/// sums of placement.
 constexpr std::uint64_t MaxReportedLoadFactor = 3;
 
-/// Of a worker's processor time, what others were last said to hold.
+/// Returns the share of the worker's processor time that other entries use, as
+/// last reported.
 double reportedShareOf(const LeasedWorker &Worker) {
   return static_cast<double>(Worker.OthersMilliCores) /
          Worker.Capacity.cpu_milli();
@@ -43,19 +46,20 @@
 
 bool WorkerTable::update(const peer::Member &Member, TimePoint Now) {
   LeasedWorker &Target = this->Workers[Member.name()];
-  // Late words of an older life change nothing.
+  // Ignore a delayed announcement of an older incarnation.
   if (Member.incarnation() < Target.Incarnation)
     return false;
   bool Replaced =
       Target.Incarnation != 0 && Member.incarnation() > Target.Incarnation;
   if (Member.incarnation() > Target.Incarnation) {
     LeasedWorker New;
-    // What its earlier life had is counted until it is given up, one by one.
+    // Tasks of the earlier incarnation count until each of them is settled.
     New.OwnMilliCores = Target.OwnMilliCores;
     New.OwnTasks = Target.OwnTasks;
     Target = New;
     Target.Incarnation = Member.incarnation();
-    // It came by way of control and is older than it looks.
+    // The stamp was relayed by control, so it is older than its time of arrival
+    // suggests.
     Target.Stamp = Member.freshness();
     Target.StampReceived = Now;
   }
@@ -70,7 +74,7 @@
   Target.Agent = {Member.name(), Member.address()};
   Target.Pool = Member.pool();
   Target.Labels = {Member.labels().begin(), Member.labels().end()};
-  // What the agent itself says of its worker's room is newer.
+  // A capacity reported by the agent itself is newer.
   if (!Target.CapacityReported)
     Target.Capacity = Member.room();
   Target.Alive = Member.state() == peer::MEMBER_ALIVE;
@@ -100,8 +104,8 @@
   LeasedWorker *Target = this->find(Agent);
   if (Target == nullptr || Load.incarnation() < Target->Incarnation)
     return false;
-  bool NewLife = Load.incarnation() > Target->Incarnation;
-  if (NewLife) {
+  bool NewIncarnation = Load.incarnation() > Target->Incarnation;
+  if (NewIncarnation) {
     Target->Incarnation = Load.incarnation();
     Target->Stamp = 0;
     Target->CapacityReported = false;
@@ -111,7 +115,7 @@
   Target->Suspect = false;
   Target->LastHeard = Now;
   if (Load.stamp() < Target->Stamp)
-    return NewLife;
+    return NewIncarnation;
   Target->Stamp = Load.stamp();
   Target->StampReceived = Now;
   if (Load.has_room()) {
@@ -124,7 +128,7 @@
   if (Load.leaving())
     Target->Alive = false;
   this->applyReportedFailures(*Target, Load.failures_in_row(), Now);
-  return NewLife;
+  return NewIncarnation;
 }
 
 void WorkerTable::setOthersMilliCores(LeasedWorker &Target,
@@ -204,7 +208,7 @@
 void WorkerTable::applyReportedFailures(LeasedWorker &Target,
                                         std::uint32_t FailuresInRow,
                                         TimePoint Now) {
-  // Another entry's trial has succeeded.
+  // A trial of another entry has succeeded.
   if (FailuresInRow == 0 && Target.Ejected) {
     Target.Ejected = false;
     Target.FailuresInRow = 0;
@@ -236,7 +240,8 @@
 
 bool WorkerTable::canTake(const LeasedWorker &Worker,
                           const LeasedJobRequest &Job, TimePoint Now) const {
-  // On an older stamp the agent would refuse it; it is being asked for one.
+  // The agent would refuse a task sent with an older stamp; it is being probed
+  // for a new one.
   bool Fresh = Now - Worker.StampReceived < MaxStampAge;
   bool Serves = Worker.isReachable() && Fresh && Worker.Pool == Job.Pool;
   if (!Serves || !holdsNeeds(Worker.Capacity, Job.Needs))
--- a/entry/worker_table.h
+++ b/entry/worker_table.h
@@ -1,9 +1,10 @@
-//===- entry/worker_table.h - An entry's view of leased workers -*- C++ -*-===//
+//===- entry/worker_table.h - An entry's leased workers ---------*- C++ -*-===//
 ///
 /// \file
-/// What one entry knows of the agents that run leased tasks: their workers'
-/// room, how much of it this entry has taken, what others were last said to
-/// hold, and how the worker has fared lately. It picks the agent for a task.
+/// Tracks the agents that run leased tasks, as this entry sees them: the
+/// capacity of their workers, how much of it this entry uses, how much other
+/// entries were last reported to use, and recent failures. Selects the agents
+/// for a job's tasks.
 ///
 //===----------------------------------------------------------------------===//
 #ifndef YARDWHEEL_ENTRY_WORKER_TABLE_H
@@ -26,34 +27,41 @@
 namespace yardwheel {
 
 struct WorkerTableOptions {
-  /// Failures in a row after which a worker gets no new tasks.
+  /// Consecutive failures after which a worker is ejected and gets no new
+  /// tasks.
   std::uint32_t EjectAfter = 3;
-  /// Doubles with each failed trial.
+  /// Time for which a worker is first ejected; doubles with each failed trial
+  /// up to MaxBackoff.
   std::chrono::milliseconds FirstBackoff{500};
   std::chrono::milliseconds MaxBackoff{8000};
-  /// An agent that control has lost is used on while it was heard from within
-  /// this; twice the time between two questions to an idle agent.
+  /// An agent that control reports as lost stays in use while this entry has
+  /// heard from it within this time. Twice the probe interval of an idle agent.
   std::chrono::milliseconds DirectContactTimeout{2000};
-  /// At most this share of a pool's workers is out at once, in percent.
+  /// Maximum share of a pool's workers that may be ejected at the same time, in
+  /// percent.
   std::uint32_t MaxEjectedPercent = 50;
-  /// A run off the preferred rack is taken to last this many times as long.
+  /// Factor by which a run outside the preferred rack is expected to take
+  /// longer.
   double OffRackFactor = 1.5;
-  /// How a job's tasks are divided among workers; see dispatch/placement.h.
+  /// Name of the placement that divides a job's tasks among workers; see
+  /// makePlacement() in dispatch/placement.h.
   std::string Placement = "packed";
-  /// Off only to compare: what was last heard of a worker then stands for what
-  /// it holds, however old it is.
+  /// Whether the load reported by a worker is corrected for its age. Switched
+  /// off only for comparison: the last report then counts as the current load,
+  /// however old it is.
   bool UseForecasts = true;
 };
 
 /// An agent and its worker, as this entry sees them.
 struct LeasedWorker {
-  /// What the agent's clock shows at least by now. Its newest stamp was read
-  /// before it came here, and its clock has run on since; so a message that
-  /// is held up on its way carries the time at which it was sent, and extends
-  /// a lease no further than one that had just been answered.
+  /// Returns a lower bound of the agent's clock at \p Now, extrapolated from
+  /// the newest stamp received. A message that is delayed on its way carries
+  /// the time at which it was sent, so it extends a lease no further than a
+  /// message that was just answered.
   std::uint64_t stampAt(TimePoint Now) const;
-  /// Whether this entry has reached it and may send it tasks. That control
-  /// knows of an agent does not say that this entry reaches it.
+  /// Whether this entry has heard from the agent and may send it tasks. An
+  /// agent that is registered at control isn't necessarily reachable from this
+  /// entry.
   bool isReachable() const {
     return this->Alive && !this->Unreachable && !this->Suspect &&
            this->LastHeard != TimePoint();
@@ -64,41 +72,44 @@
   std::string Pool;
   std::set<std::string> Labels;
   peer::TaskNeeds Capacity;
-  /// Its agent has told of its room, which may change while it runs.
+  /// Whether the agent itself has reported Capacity, which may change at run
+  /// time.
   bool CapacityReported = false;
-  /// As control last told.
+  /// State last announced by control.
   peer::MemberState State = peer::MEMBER_UNSPECIFIED;
   bool Alive = false;
-  /// Control no longer hears it, but this entry does.
+  /// Control has lost the agent, but this entry still hears from it.
   bool OnlyReachableHere = false;
-  /// Reported lost by a link; nothing is sent until it is heard again.
+  /// A link to the agent has failed; nothing is sent until it is heard from
+  /// again.
   bool Unreachable = false;
-  /// Has left a question unanswered for a while; nothing new is sent until it
-  /// is heard again.
+  /// A probe has not been answered in time; no new tasks are sent until the
+  /// agent is heard from again.
   bool Suspect = false;
-  /// Newest stamp of the agent's clock, and when it came, by ours.
+  /// Newest stamp of the agent's clock, and when it was received by this
+  /// entry's clock.
   std::uint64_t Stamp = 0;
   TimePoint StampReceived;
-  /// When this life of it was last heard here; not yet if at the epoch.
+  /// When this incarnation was last heard from; the epoch if it never was.
   TimePoint LastHeard;
-  /// Processor time that others hold there, as last told.
+  /// Processor time that other entries use on the worker, as last reported.
   std::uint32_t OthersMilliCores = 0;
   std::uint32_t OwnMilliCores = 0;
   std::uint32_t OwnTasks = 0;
 
   std::uint32_t FailuresInRow = 0;
   bool Ejected = false;
-  /// Back from ejection with one task, until it succeeds.
+  /// Readmitted after an ejection; gets one task at a time until one succeeds.
   bool OnTrial = false;
   TimePoint EjectedUntil;
   std::chrono::milliseconds Backoff{};
 };
 
-/// Tasks of a job for one worker.
+/// The tasks of a job that are placed on one worker.
 struct WorkerShare {
   LeasedWorker *Worker = nullptr;
   std::uint32_t Tasks = 0;
-  /// All of them would start at once, as far as is known here.
+  /// Whether all of them are expected to start immediately.
   bool StartsNow = false;
 };
 
@@ -108,16 +119,18 @@
       : Options(Options), Random(Seed),
         PlacementPolicy(makePlacement(Options.Placement)) {}
 
-  /// Takes an announcement. An agent that control has lost may be cut off from
-  /// control alone, so it stays in use while this entry hears it.
-  /// \returns whether an older life has ended.
+  /// Applies an announcement of control. An agent that control has lost may be
+  /// cut off from control alone, so it stays in use while this entry hears from
+  /// it. \returns whether an older incarnation was replaced.
   bool update(const peer::Member &Member, TimePoint Now);
-  /// Whether an agent that control has lost is no longer heard here either.
+  /// Whether control has lost the agent and this entry no longer hears from it
+  /// either.
   bool isLost(const LeasedWorker &Worker, TimePoint Now) const;
   void setLost(const std::string &Agent);
-  /// Takes what an agent says of its load; words of an older life are dropped.
-  /// Failures that other entries met there count as if met here.
-  /// \returns whether they are those of a life not known of yet.
+  /// Applies an agent's load report. Reports of an older incarnation are
+  /// ignored. Failures observed by other entries count like this entry's own.
+  /// \returns whether the report comes from an incarnation that was not known
+  /// yet.
   bool onLoadReport(const std::string &Agent, const peer::WorkerLoad &Load,
                     TimePoint Now);
   void setUnreachable(const std::string &Agent);
@@ -125,17 +138,17 @@
 
   void onSent(const std::string &Agent, const peer::TaskNeeds &Needs);
   void onSettled(const std::string &Agent, const peer::TaskNeeds &Needs);
-  /// \param RunTime How long the task has run.
+  /// \param RunTime Run time of the task.
   void onSuccess(const std::string &Agent, std::chrono::milliseconds RunTime);
-  /// \returns whether the worker has been ejected by it.
+  /// \returns whether this failure caused the worker to be ejected.
   bool onFailure(const std::string &Agent, TimePoint Now);
 
-  /// Whether any agent is there and has not gone silent.
+  /// Whether at least one agent is reachable.
   bool hasReachable() const;
 
-  /// Taken room over all room of the workers that may take the job, in
-  /// processor time; 0 where none may. \param WaitingMilli Of tasks that wait
-  /// for room at this entry, in thousandths of a core.
+  /// Returns the ratio of used to total processor time over all workers that
+  /// are eligible for the job; 0 if there are none. \param WaitingMilli Demand
+  /// of the tasks that wait at this entry, in thousandths of a core.
   double pressure(const LeasedJobRequest &Job, std::uint64_t WaitingMilli,
                   TimePoint Now) const;
 
@@ -144,49 +157,54 @@
     return this->Workers;
   }
 
-  /// Divides tasks of a job among the workers that may take them; fewer than
-  /// asked for where not all may be placed. A worker back from ejection gets a
-  /// single one. \param Avoid Agents that have refused or failed the tasks.
-  /// \param Placed Tasks of the job that each agent has already.
-  /// \param OnlyStartingNow Whether to place only what would start at once.
+  /// Divides tasks of a job among the eligible workers. Places fewer than
+  /// requested if some can't be placed. A worker on trial gets a single task.
+  /// \param Avoid Agents that have refused or failed these tasks. \param Placed
+  /// Number of the job's tasks that each agent already has. \param
+  /// OnlyStartingNow Whether to place only tasks that are expected to start
+  /// immediately.
   std::vector<WorkerShare>
   divide(const LeasedJobRequest &Job, std::uint32_t Tasks,
          const std::set<std::string> &Avoid,
          const std::map<std::string, std::uint32_t> &Placed,
          bool OnlyStartingNow, TimePoint Now);
 
-  /// Some workers that may take tasks of the job, drawn at random.
+  /// Returns up to \p Count workers that are eligible for the job, selected at
+  /// random. Workers that are ejected or on trial are left out.
   std::vector<const LeasedWorker *>
   sampleWorkers(const LeasedJobRequest &Job, const std::set<std::string> &Avoid,
                 std::size_t Count, TimePoint Now);
 
-  /// Whether any worker may take a task of the job.
+  /// Whether any worker is eligible for a task of the job.
   bool hasEligibleWorker(const LeasedJobRequest &Job,
                          const std::set<std::string> &Avoid,
                          TimePoint Now) const;
 
 private:
-  /// Takes what a worker is said to hold for others, within what it can.
+  /// Sets the load that other entries place on the worker, limited to what is
+  /// plausible for its capacity.
   void setOthersMilliCores(LeasedWorker &Target, std::uint32_t Reported);
   bool canTake(const LeasedWorker &Worker, const LeasedJobRequest &Job,
                TimePoint Now) const;
-  /// \param Known The forecast of the worker's pool, from forecastFor.
+  /// \param PoolForecast Forecast of the worker's pool, from forecastFor().
   PlacementTarget targetFor(const LeasedWorker &Worker,
                             const LeasedJobRequest &Job,
                             const LoadForecast *PoolForecast,
                             TimePoint Now) const;
-  /// Nothing where nothing has been heard of the pool, or forecasts are off.
+  /// Returns null if there are no reports from the pool or forecasts are off.
   const LoadForecast *forecastFor(const std::string &Pool) const;
-  /// What others hold of a worker by now.
+  /// Returns the expected load of other entries on the worker at \p Now.
   static Forecast forecastOthers(const LeasedWorker &Worker,
                                  const LoadForecast *PoolForecast,
                                  TimePoint Now);
-  /// The same without its deviation, for each worker with each job.
+  /// Like forecastOthers(), without the deviation; called for each worker with
+  /// each job.
   static double forecastOthersShare(const LeasedWorker &Worker,
                                     const LoadForecast *PoolForecast,
                                     TimePoint Now);
   bool mayEjectOneMore(const std::string &Pool) const;
-  /// \returns whether the worker may be and has been ejected.
+  /// Ejects the worker unless too many of its pool are ejected already.
+  /// \returns whether it was ejected.
   bool eject(LeasedWorker &Target, TimePoint Now);
   void applyReportedFailures(LeasedWorker &Target, std::uint32_t FailuresInRow,
                              TimePoint Now);
@@ -195,7 +213,7 @@
   std::mt19937_64 Random;
   std::unique_ptr<const Placement> PlacementPolicy;
   std::map<std::string, LeasedWorker> Workers;
-  /// By pool.
+  /// Keyed by pool.
   std::map<std::string, LoadForecast> Forecasts;
   Logger Log{"board"};
 };
--- a/tests/entry/crash_record_test.cpp
+++ b/tests/entry/crash_record_test.cpp
@@ -12,30 +12,30 @@
 
 constexpr TimePoint Start{1h};
 
-/// \param Tasks The last of them was started last.
+/// \param Tasks Indices of the tasks named; the last of them was started last.
 peer::WorkerCrash crash(std::uint64_t Incarnation,
                         const std::vector<std::uint32_t> &Tasks) {
-  peer::WorkerCrash Told;
-  Told.set_incarnation(Incarnation);
+  peer::WorkerCrash Crash;
+  Crash.set_incarnation(Incarnation);
   for (std::uint32_t Index : Tasks) {
-    peer::CrashedTask *Task = Told.add_tasks();
+    peer::CrashedTask *Task = Crash.add_tasks();
     Task->set_job(Index == 0 ? "job" : "beside");
     Task->set_index(Index);
     Task->set_started_last(Index == Tasks.back());
   }
-  return Told;
+  return Crash;
 }
 
 } // namespace
 
 TEST_GROUP(CrashRecordTest){};
 
-TEST(CrashRecordTest, ATaskIsGivenUpAfterTwoCrashesAndNeverBefore) {
+TEST(CrashRecordTest, ATaskIsAbandonedAfterTwoCrashesAndNotBefore) {
   struct Event {
     enum { Lost, Crashed } Kind;
     const char *Agent;
-    std::uint64_t Life;
-    /// Of a crash, what is named.
+    std::uint64_t Incarnation;
+    /// For a crash, the indices of the tasks that its report names.
     std::vector<std::uint32_t> Named;
   };
   struct Row {
@@ -43,18 +43,18 @@
     std::vector<Event> Events;
     CrashVerdict Expected;
   };
-  // Of task 0.
+  // Expected verdicts are those of task 0.
   const Row Rows[] = {
       {"nothing known", {}, CrashVerdict::Allowed},
       {"one lost", {{Event::Lost, "a", 1, {}}}, CrashVerdict::Allowed},
       {"one crashed", {{Event::Crashed, "a", 1, {0}}}, CrashVerdict::Allowed},
-      {"lost, then known to have crashed",
+      {"lost, then reported as crashed",
        {{Event::Lost, "a", 1, {}}, {Event::Crashed, "a", 1, {0}}},
        CrashVerdict::Allowed},
-      {"the same crash told twice",
+      {"the same crash reported twice",
        {{Event::Crashed, "a", 1, {0}}, {Event::Crashed, "a", 1, {0}}},
        CrashVerdict::Allowed},
-      {"two lost, perhaps only cut off",
+      {"two lost, possibly just cut off",
        {{Event::Lost, "a", 1, {}}, {Event::Lost, "b", 1, {}}},
        CrashVerdict::OnHold},
       {"one of the two has crashed",
@@ -68,10 +68,10 @@
         {Event::Crashed, "a", 1, {0}},
         {Event::Crashed, "b", 1, {0}}},
        CrashVerdict::Abandoned},
-      {"two lives of one worker",
+      {"two incarnations of one worker",
        {{Event::Crashed, "a", 1, {0}}, {Event::Crashed, "a", 2, {0}}},
        CrashVerdict::Abandoned},
-      {"heard of from agents alone",
+      {"crashes reported by agents, without a loss here",
        {{Event::Crashed, "a", 1, {1, 0}}, {Event::Crashed, "b", 4, {0}}},
        CrashVerdict::Abandoned},
       {"twice beside the cause",
@@ -93,10 +93,10 @@
       {"a crash under other tasks",
        {{Event::Lost, "a", 1, {}}, {Event::Crashed, "a", 1, {1}}},
        CrashVerdict::Allowed},
-      {"told of the crash before of the loss",
+      {"crash reported before the loss",
        {{Event::Crashed, "a", 1, {1}}, {Event::Lost, "a", 1, {}}},
        CrashVerdict::Allowed},
-      {"one under other tasks, one not known",
+      {"one crashed under other tasks, one unknown",
        {{Event::Lost, "a", 1, {}},
         {Event::Lost, "b", 1, {}},
         {Event::Crashed, "a", 1, {1}}},
@@ -106,9 +106,10 @@
     CrashRecord Record;
     for (const Event &What : Row.Events)
       if (What.Kind == Event::Lost)
-        Record.onWorkerLost("job", 0, What.Agent, What.Life, Start);
+        Record.onWorkerLost("job", 0, What.Agent, What.Incarnation, Start);
       else
-        Record.onWorkerCrashed(What.Agent, crash(What.Life, What.Named), Start);
+        Record.onWorkerCrashed(What.Agent, crash(What.Incarnation, What.Named),
+                               Start);
     CHECK_TEXT(Row.Expected == Record.verdict("job", 0), Row.Name);
     bool Abandoned = !Record.describeAbandoned("job").empty();
     CHECK_EQUAL_TEXT(Row.Expected == CrashVerdict::Abandoned, Abandoned,
@@ -117,7 +118,7 @@
   }
 }
 
-TEST(CrashRecordTest, WhoIsGivenUpIsSaid) {
+TEST(CrashRecordTest, DescribesTheAbandonedTaskAndItsAgents) {
   CrashRecord Record;
   Record.onWorkerCrashed("a", crash(1, {3}), Start);
   Record.onWorkerCrashed("b", crash(1, {2, 3}), Start);
@@ -126,7 +127,7 @@
   STRCMP_EQUAL("", Record.describeAbandoned("job").c_str());
 }
 
-TEST(CrashRecordTest, WhatItRemembersIsBounded) {
+TEST(CrashRecordTest, RemembersALimitedNumberOfTasks) {
   CrashRecordOptions Options;
   Options.MaxTasks = 10;
   CrashRecord Record(Options);
--- a/tests/entry/drain_watch_test.cpp
+++ b/tests/entry/drain_watch_test.cpp
@@ -7,10 +7,11 @@
 
 TEST_GROUP(DrainWatchTest){};
 
-TEST(DrainWatchTest, AnEntryDrainsUntilItsCallersHaveMovedAndNoLonger) {
+TEST(DrainWatchTest, DrainsUntilCallersHaveMovedAndNoLonger) {
   struct Row {
     const char *Name;
-    /// Callers submit every 100 ms until then, and each job takes a while.
+    /// Callers submit a job every 100 ms until this time; each job takes
+    /// JobTakes.
     std::chrono::milliseconds SubmitUntil;
     std::chrono::milliseconds JobTakes;
     std::chrono::milliseconds Expected;
--- a/tests/entry/load_shedder_test.cpp
+++ b/tests/entry/load_shedder_test.cpp
@@ -8,7 +8,7 @@
 TEST_GROUP(LoadShedderTest) {
   LoadShedder Shedder{ShedderOptions()};
   TimePoint Now{1h};
-  /// Looks at the pressure a hundred times a second.
+  /// Records the pressure a hundred times a second.
   void hold(double Pressure, std::chrono::milliseconds Time) {
     for (auto Passed = 0ms; Passed < Time; Passed += 10ms) {
       Now += 10ms;
@@ -17,13 +17,13 @@
   }
 };
 
-// A burst is worth waiting out; a queue that lasts makes all jobs wait.
+// A burst is worth waiting out; a persistent queue makes all jobs wait.
 TEST(LoadShedderTest, TheLimitFallsWhileTheWorkersStayFull) {
   struct Row {
     double Pressure;
     std::chrono::milliseconds Time;
-    double Least;
-    double Most;
+    double MinLimit;
+    double MaxLimit;
   };
   const Row Rows[] = {{0.8, 10000ms, 1.29, 1.31},
                       {1.25, 300ms, 1.29, 1.31},
@@ -32,12 +32,12 @@
   for (const Row &Row : Rows) {
     hold(Row.Pressure, Row.Time);
     Shedder.onOffered("r", 100, Now);
-    CHECK(Shedder.limitFor("r", Now) > Row.Least);
-    CHECK(Shedder.limitFor("r", Now) < Row.Most);
+    CHECK(Shedder.limitFor("r", Now) > Row.MinLimit);
+    CHECK(Shedder.limitFor("r", Now) < Row.MaxLimit);
   }
 }
 
-TEST(LoadShedderTest, ALimitOfTheWholeRoomSwitchesThatOff) {
+TEST(LoadShedderTest, ASustainedLimitOfOneDisablesTheReduction) {
   ShedderOptions Options;
   Options.SustainedLimit = 1;
   Shedder = LoadShedder(Options);
--- a/tests/entry/readiness_test.cpp
+++ b/tests/entry/readiness_test.cpp
@@ -1,11 +1,12 @@
-//===- An entry that must refuse is sent no callers -----------------------=//
+//===- Readiness of an entry that must refuse jobs ------------------------=//
 //
-// An entry that could not reach control, and had heard of a newer route table,
-// refused each job handed in ("the route table here may be old"), and still
-// told its balancer that it was ready. So its callers came to it for as long as
-// the cut lasted, though other entries could have served them. Readiness looked
-// at routes, workers and load; that the table's state was unknown was in no
-// input.
+// Guards against an entry that reports itself ready while it refuses all jobs.
+// An entry that couldn't reach control, and knew of a newer route table,
+// refused every submitted job ("the route table here may be old"), yet told its
+// balancer that it was ready. Its callers kept coming to it for as long as it
+// was cut off, although other entries could have served them: readiness
+// considered routes, workers and load, but not that the table's state was
+// unknown.
 //
 //===----------------------------------------------------------------------===//
 
@@ -21,14 +22,14 @@
 
 namespace {
 
-constexpr ReadinessFacts Sound{.HasRoutes = true,
-                               .HasWorkers = true,
-                               .KeepsUp = true,
-                               .Draining = false,
-                               .Table = TableState::Current};
+constexpr ReadinessFacts Healthy{.HasRoutes = true,
+                                 .HasWorkers = true,
+                                 .KeepsUp = true,
+                                 .Draining = false,
+                                 .Table = TableState::Current};
 
 ReadinessFacts with(TableState Table) {
-  ReadinessFacts Facts = Sound;
+  ReadinessFacts Facts = Healthy;
   Facts.Table = Table;
   return Facts;
 }
@@ -37,25 +38,25 @@
 
 TEST_GROUP(ReadinessTest){};
 
-TEST(ReadinessTest, EachFactAloneSendsCallersElsewhere) {
+TEST(ReadinessTest, EachConditionAloneMakesTheEntryNotReady) {
   struct Row {
     const char *Name;
     ReadinessFacts Facts;
     bool Ready;
   };
-  ReadinessFacts NoRoutes = Sound, NoWorkers = Sound, Behind = Sound,
-                 Draining = Sound;
+  ReadinessFacts NoRoutes = Healthy, NoWorkers = Healthy, Behind = Healthy,
+                 Draining = Healthy;
   NoRoutes.HasRoutes = false;
   NoWorkers.HasWorkers = false;
   Behind.KeepsUp = false;
   Draining.Draining = true;
-  const Row Rows[] = {
-      {"sound", Sound, true},
-      {"no routes", NoRoutes, false},
-      {"no workers", NoWorkers, false},
-      {"behind", Behind, false},
-      {"draining", Draining, false},
-      {"control out of reach, served on", with(TableState::Unreachable), true}};
+  const Row Rows[] = {{"healthy", Healthy, true},
+                      {"no routes", NoRoutes, false},
+                      {"no workers", NoWorkers, false},
+                      {"behind", Behind, false},
+                      {"draining", Draining, false},
+                      {"control unreachable, jobs still served",
+                       with(TableState::Unreachable), true}};
   for (const Row &Row : Rows) {
     Readiness Rule;
     CHECK_EQUAL_TEXT(Row.Ready, Rule.update(Row.Facts, TimePoint(1h)),
@@ -63,7 +64,7 @@
   }
 }
 
-TEST(ReadinessTest, AnOldTableSendsCallersElsewhereOnceItLasts) {
+TEST(ReadinessTest, AnUnknownTableStateMakesTheEntryNotReadyOnceItLasts) {
   struct Step {
     std::chrono::milliseconds At;
     TableState Table;
@@ -74,19 +75,19 @@
     std::vector<Step> Steps;
   };
   const Row Rows[] = {
-      {"a spell that the balancer would not see",
+      {"too short for the balancer to notice",
        {{0ms, TableState::Current, true},
         {100ms, TableState::Unknown, true},
         {900ms, TableState::Unknown, true},
         {1000ms, TableState::Current, true},
         {1900ms, TableState::Unknown, true}}},
-      {"one that lasts, and its end",
+      {"lasting, then over",
        {{0ms, TableState::Current, true},
         {100ms, TableState::Unknown, true},
         {1200ms, TableState::Unknown, false},
         {5000ms, TableState::Unknown, false},
         {5100ms, TableState::Current, true}}},
-      {"one that ends as control is known to be out of reach",
+      {"lasting, until control is known to be unreachable",
        {{0ms, TableState::Unknown, true},
         {3000ms, TableState::Unknown, false},
         {3100ms, TableState::Unreachable, true}}},
--- a/tests/entry/recent_ids_test.cpp
+++ b/tests/entry/recent_ids_test.cpp
@@ -7,7 +7,7 @@
 
 TEST_GROUP(RecentIdsTest){};
 
-TEST(RecentIdsTest, AnIdIsRememberedForAtLeastTheTimeGivenAndThenForgotten) {
+TEST(RecentIdsTest, IdsAreKeptForAtLeastTheRetentionAndThenDropped) {
   RecentIds Ids(5s);
   TimePoint Now(1h);
   CHECK_FALSE(Ids.contains("j"));
--- a/tests/entry/self_load_test.cpp
+++ b/tests/entry/self_load_test.cpp
@@ -21,15 +21,15 @@
     CHECK(Load.isBehind(Now, Now - Row.SinceIdle) == Row.Refused);
 }
 
-TEST(SelfLoadTest, ShortSpellsDoNotSendCallersAway) {
+TEST(SelfLoadTest, ShortBusyPeriodsKeepTheEntryReady) {
   for (int I = 0; I < 100; ++I) {
     Now += 20ms;
     CHECK(Load.mayBeReady(Now, Now - 400ms));
   }
 }
 
-// The balancer takes seconds to notice, and the load is back once it has.
-TEST(SelfLoadTest, AnOverloadedEntryStaysAwayForAWhileAndLongerEachTime) {
+// The balancer takes seconds to notice, and the load returns once it has.
+TEST(SelfLoadTest, AnOverloadedEntryPausesForLongerEachTime) {
   std::chrono::milliseconds Away[3]{};
   for (std::chrono::milliseconds &Spell : Away) {
     CHECK(Load.mayBeReady(Now, Now));
@@ -43,14 +43,14 @@
   CHECK(Away[0] >= 2s);
   CHECK(Away[1] >= 4s);
   CHECK(Away[2] >= 8s);
-  // Long after, it begins anew.
+  // Long after the last overload, the pause is the shortest again.
   Now += 60s;
   CHECK_FALSE(Load.mayBeReady(Now, Now - 600ms));
   CHECK(Load.mayBeReady(Now + 2100ms, Now + 2100ms));
 }
 
-// Their callers may have gone meanwhile.
-TEST(SelfLoadTest, ForSecondsAfterItWasBehindAnEntryMayReadLateRequests) {
+// The callers of such requests may have left in the meantime.
+TEST(SelfLoadTest, StaleRequestsMayBeReadForSecondsAfterFallingBehind) {
   struct Row {
     TimePoint LastBehind;
     bool MayRead;
@@ -63,7 +63,7 @@
     CHECK(Load.mayReadStale(Now, Row.LastBehind) == Row.MayRead);
 }
 
-TEST(SelfLoadTest, SwitchedOffItNeverRefuses) {
+TEST(SelfLoadTest, NeverRefusesWhenDisabled) {
   SelfLoadOptions Options;
   Options.Enabled = false;
   SelfLoad Off(Options);
--- a/tests/entry/table_lease_test.cpp
+++ b/tests/entry/table_lease_test.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 constexpr TimePoint Now{1h};
-/// Control was never asked in vain.
+/// No search of control has ended without a leader.
 constexpr auto Never = std::chrono::milliseconds::max();
 
 } // namespace
@@ -25,7 +25,7 @@
   }
 };
 
-TEST(TableLeaseTest, ATableIsCurrentOnlyWithinItsAge) {
+TEST(TableLeaseTest, ATableIsCurrentOnlyWithinItsMaximumAge) {
   struct Row {
     const char *Name;
     std::chrono::milliseconds ConfirmedAgo;
@@ -35,24 +35,23 @@
     TableState Expected;
   };
   const Row Rows[] = {
-      {"confirmed just now", 0ms, Never, 0ms, 0ms, TableState::Current},
+      {"just confirmed", 0ms, Never, 0ms, 0ms, TableState::Current},
       {"at the limit", 1750ms, Never, 0ms, 0ms, TableState::Current},
-      {"behind, but confirmed of late", 400ms, Never, 5000ms, 0ms,
+      {"behind, but confirmed recently", 400ms, Never, 5000ms, 0ms,
        TableState::Current},
-      {"too old, all of control asked in vain", 1751ms, 1251ms, 0ms, 0ms,
+      {"too old, no leader at any replica", 1751ms, 1251ms, 0ms, 0ms,
        TableState::Unreachable},
       {"the same for long", 30s, 1000ms, 0ms, 0ms, TableState::Unreachable},
-      {"too old, control not asked through", 1751ms, Never, 0ms, 0ms,
+      {"too old, not all replicas asked", 1751ms, Never, 0ms, 0ms,
        TableState::Unknown},
       {"the same for long", 30s, Never, 0ms, 0ms, TableState::Unknown},
-      {"asked in vain at the limit", 30s, 1750ms, 0ms, 0ms,
+      {"no leader found, at the limit", 30s, 1750ms, 0ms, 0ms,
        TableState::Unreachable},
-      {"a leader may have come since", 30s, 1751ms, 0ms, 0ms,
+      {"a leader may have been elected since", 30s, 1751ms, 0ms, 0ms,
        TableState::Unknown},
       {"behind now", 3000ms, 1000ms, 501ms, 0ms, TableState::Unknown},
-      {"late for a moment", 3000ms, 1000ms, 500ms, 0ms,
-       TableState::Unreachable},
-      {"woken just now, and looks idle", 3000ms, 1000ms, 0ms, 501ms,
+      {"briefly late", 3000ms, 1000ms, 500ms, 0ms, TableState::Unreachable},
+      {"just resumed, and seemingly idle", 3000ms, 1000ms, 0ms, 501ms,
        TableState::Unknown},
   };
   for (const Row &Row : Rows) {
@@ -68,25 +67,26 @@
   }
 }
 
-TEST(TableLeaseTest, WithoutAnyConfirmationNothingIsKnown) {
+TEST(TableLeaseTest, WithoutAnyConfirmationTheStateIsUnknown) {
   checkState(TableState::Unknown, Now, "just started");
   Lease.setNoLeaderSince(Now - 1s);
-  checkState(TableState::Unknown, Now, "asked in vain");
+  checkState(TableState::Unknown, Now, "no leader found");
   LONGS_EQUAL(-1, Lease.status(Now, Now).ageMillis());
 }
 
-// What was found before counts no longer once it is taken back.
-TEST(TableLeaseTest, ASearchThatHasNotEndedProvesNothing) {
+// Guards against relying on a search's earlier result once it has been
+// withdrawn.
+TEST(TableLeaseTest, AnUnfinishedSearchProvesNothing) {
   Lease.confirm(Now - 8s);
   Lease.setNoLeaderSince(Now - 1s);
-  checkState(TableState::Unreachable, Now, "all asked");
+  checkState(TableState::Unreachable, Now, "all replicas asked");
   Lease.setNoLeaderSince(TimePoint::min());
-  checkState(TableState::Unknown, Now, "asked anew");
+  checkState(TableState::Unknown, Now, "search restarted");
   Lease.confirm(Now - 100ms);
   checkState(TableState::Current, Now, "answered");
 }
 
-TEST(TableLeaseTest, ATableThatIsKnownToBeOldIsNotServedOn) {
+TEST(TableLeaseTest, AnOutdatedTableIsNotServed) {
   Lease.setHeldRevision(5);
   Lease.confirm(Now - 3s);
   Lease.setNoLeaderSince(Now - 1s);
@@ -94,13 +94,13 @@
   checkState(TableState::Unreachable, Now, "the same revision");
   Lease.onPeerRevision(6);
   Lease.onPeerRevision(4);
-  checkState(TableState::Unknown, Now, "a newer one");
+  checkState(TableState::Unknown, Now, "a newer revision");
   CHECK(Lease.status(Now, Now).NewerKnown);
   Lease.setHeldRevision(6);
-  checkState(TableState::Unreachable, Now, "it has come");
+  checkState(TableState::Unreachable, Now, "the newer revision received");
 }
 
-TEST(TableLeaseTest, ALateAnswerToAnOlderQuestionTakesNothingBack) {
+TEST(TableLeaseTest, ADelayedAnswerToAnOlderRequestIsIgnored) {
   Lease.confirm(Now - 100ms);
   Lease.confirm(Now - 3s);
   checkState(TableState::Current, Now, "the newer answer counts");
--- a/tests/entry/worker_table_test.cpp
+++ b/tests/entry/worker_table_test.cpp
@@ -1,11 +1,12 @@
-//===- What one agent says of its load ------------------------------------=//
+//===- Load reports of a single agent -------------------------------------=//
 //
-// One agent that told a load which no worker can hold had every job of its pool
-// refused: the entry added it up with the loads of the others, and eight empty
-// workers of nine looked 119,305 times taken. Divided among workers, the same
-// figure went over the end of its type, so that just this worker could look
-// empty. An agent's word was taken whole, whatever it said of a room that the
-// entry knows.
+// Guards against trusting implausible load reports. One agent that reported
+// more load than any worker can hold had every job of its pool refused: the
+// entry added the load to that of the other workers, so that a pool with eight
+// empty workers of nine seemed to be used at 119,305 times its capacity. When
+// tasks were divided among workers, the same value overflowed its type, so that
+// this very worker could look empty. The entry accepted the report unchecked,
+// although it knows the worker's capacity.
 //
 //===----------------------------------------------------------------------===//
 
@@ -22,23 +23,23 @@
 
 namespace {
 
-constexpr std::uint32_t RoomMilli = 4000;
-constexpr std::uint64_t Life = 7;
+constexpr std::uint32_t CapacityMilliCores = 4000;
+constexpr std::uint64_t Incarnation = 7;
 const TimePoint Now(1h);
 
 void addWorker(WorkerTable &Table, const std::string &Name,
-               std::uint32_t OthersMilli) {
+               std::uint32_t OthersMilliCores) {
   peer::Member Member;
   Member.set_name(Name);
-  Member.set_incarnation(Life);
+  Member.set_incarnation(Incarnation);
   Member.set_state(peer::MEMBER_ALIVE);
   Member.set_pool("pool");
-  Member.mutable_room()->set_cpu_milli(RoomMilli);
+  Member.mutable_room()->set_cpu_milli(CapacityMilliCores);
   Table.update(Member, Now);
   peer::WorkerLoad Load;
-  Load.set_incarnation(Life);
+  Load.set_incarnation(Incarnation);
   Load.set_stamp(1);
-  Load.set_others_cpu_milli(OthersMilli);
+  Load.set_others_cpu_milli(OthersMilliCores);
   Table.onLoadReport(Name, Load, Now);
 }
 
@@ -53,26 +54,27 @@
 
 TEST_GROUP(WorkerTableTest){};
 
-TEST(WorkerTableTest, OneAgentsWordClosesNoPoolAndDrawsNoTasks) {
+TEST(WorkerTableTest, AnImplausibleReportNeitherBlocksItsPoolNorAttractsTasks) {
   struct Row {
     const char *Name;
-    std::uint32_t OthersMilli;
+    std::uint32_t OthersMilliCores;
   };
-  // The last ones come to zero and to little where figures of 32 bits end.
-  const Row Rows[] = {{"full", RoomMilli},
-                      {"a queue", 2 * RoomMilli},
-                      {"more than there can be", 1000 * RoomMilli},
-                      {"the most", UINT32_MAX},
-                      {"the most but one task", UINT32_MAX - 1000}};
+  // In 32-bit arithmetic, sums with the last two overflow to zero or to a small
+  // value.
+  const Row Rows[] = {{"full", CapacityMilliCores},
+                      {"full, with a queue", 2 * CapacityMilliCores},
+                      {"more than is possible", 1000 * CapacityMilliCores},
+                      {"the maximum", UINT32_MAX},
+                      {"the maximum less one task", UINT32_MAX - 1000}};
   for (const Row &Row : Rows) {
     WorkerTable Table(WorkerTableOptions(), 1);
     for (int I = 0; I < 8; ++I)
       addWorker(Table, fmt::format("empty-{}", I), 0);
-    addWorker(Table, "loud", Row.OthersMilli);
-    Table.find("loud")->OwnMilliCores = 2000;
+    addWorker(Table, "overstated", Row.OthersMilliCores);
+    Table.find("overstated")->OwnMilliCores = 2000;
     double Pressure = Table.pressure(job(), 0, Now);
     CHECK_TEXT(Pressure > 0 && Pressure < 1, Row.Name);
     for (const WorkerShare &Share : Table.divide(job(), 8, {}, {}, false, Now))
-      CHECK_TEXT(Share.Worker != Table.find("loud"), Row.Name);
+      CHECK_TEXT(Share.Worker != Table.find("overstated"), Row.Name);
   }
 }
