--- a/dispatch/bucket_index.h
+++ b/dispatch/bucket_index.h
@@ -1,8 +1,9 @@
-//===- dispatch/bucket_index.h - Best of many in constant time --*- C++ -*-===//
+//===- dispatch/bucket_index.h - Index of the best upstreams ----*- C++ -*-===//
 ///
 /// \file
-/// Keeps upstreams by a small whole number, so that one of the best is found,
-/// and an upstream moved, without looking at the others.
+/// Indexes upstreams by a small integer key, so that one with the greatest key
+/// is found, and an upstream is moved to another key, without visiting the
+/// others.
 ///
 //===----------------------------------------------------------------------===//
 #ifndef YARDWHEEL_DISPATCH_BUCKET_INDEX_H
@@ -16,17 +17,18 @@
 
 namespace yardwheel {
 
-/// Position of an upstream in its table; stays the same while it is known.
+/// Position of an upstream in its table; never changes while it is known.
 using UpstreamIndex = std::uint32_t;
 
 class BucketIndex {
 public:
-  /// Puts \p Upstream under \p Key, or moves it there. Keys below 0 count as 0.
+  /// Sets the key of \p Upstream, which is added if it is absent. Negative keys
+  /// count as 0.
   void put(UpstreamIndex Upstream, int Key);
   void remove(UpstreamIndex Upstream);
 
-  /// One of the upstreams with the greatest key, picked at random; nothing if
-  /// none has a key above 0.
+  /// Returns one of the upstreams with the greatest key, selected at random;
+  /// none if no key is above 0.
   std::optional<UpstreamIndex> pickBest(std::mt19937_64 &Random) const;
 
   bool contains(UpstreamIndex Upstream) const;
@@ -41,7 +43,7 @@
 
   std::vector<std::vector<UpstreamIndex>> Buckets;
   std::vector<Location> Locations;
-  /// No bucket above this one holds anything.
+  /// All buckets above this one are empty.
   std::size_t Top = 0;
 };
 
--- a/dispatch/fair_queue.cpp
+++ b/dispatch/fair_queue.cpp
@@ -12,7 +12,7 @@
 void FairQueue::modify(const std::string &Workspace, Edit Change) {
   auto Place = this->Queues.try_emplace(Workspace).first;
   WorkspaceQueue &Target = Place->second;
-  // The order must not change under the set's feet.
+  // The sort key must not change while the queue is in the set.
   if (isReady(Target))
     this->ReadyQueues.erase(&*Place);
   Change(Target);
@@ -31,7 +31,7 @@
 void FairQueue::push(const std::string &Workspace, JobRank Rank, JobNumber Job,
                      std::uint32_t Index) {
   this->modify(Workspace, [&](WorkspaceQueue &Target) {
-    // A workspace that was idle has saved nothing up.
+    // An idle workspace must not accumulate credit.
     if (Target.Waiting == 0)
       Target.VirtualStart = std::max(Target.VirtualStart, this->VirtualTime);
     Target.Jobs[{Rank, Job}].push_back(Index);
--- a/dispatch/fair_queue.h
+++ b/dispatch/fair_queue.h
@@ -1,9 +1,10 @@
-//===- dispatch/fair_queue.h - Whose task goes next -------------*- C++ -*-===//
+//===- dispatch/fair_queue.h - Fair queue of waiting tasks ------*- C++ -*-===//
 ///
 /// \file
-/// Tasks that wait at an entry for an upstream of one pool. Between workspaces,
-/// start-time fair queueing by weight; within a workspace, jobs by a rank that
-/// their owner gives them, so that a job's tasks stay together.
+/// Queue of the tasks that wait at an entry for an upstream of one pool. Uses
+/// start-time fair queueing by weight between workspaces; within a workspace,
+/// jobs are ordered by a rank that their owner assigns, so that the tasks of a
+/// job stay together.
 ///
 //===----------------------------------------------------------------------===//
 #ifndef YARDWHEEL_DISPATCH_FAIR_QUEUE_H
@@ -20,10 +21,11 @@
 
 namespace yardwheel {
 
-/// A job's number within one entry's life; grows with its arrival.
+/// Sequence number of a job within one incarnation of an entry, in order of
+/// arrival.
 using JobNumber = std::uint64_t;
 
-/// Where a job stands within its workspace: the lower goes first.
+/// Position of a job within its workspace: lower ranks go first.
 using JobRank = std::int64_t;
 
 struct WaitingTask {
@@ -36,31 +38,31 @@
 class FairQueue {
 public:
   FairQueue() = default;
-  // The order of the ready lines points into this object.
+  // ReadyQueues points into this object.
   FairQueue(const FairQueue &) = delete;
   FairQueue &operator=(const FairQueue &) = delete;
 
-  /// Sets a workspace's weight and how many of its tasks may be out at once.
+  /// Sets a workspace's weight and the maximum number of its tasks in flight.
   void configure(const std::string &Workspace, std::uint32_t Weight,
                  std::uint32_t Capacity);
 
-  /// A job's tasks must all be pushed with one rank.
+  /// Adds a task. All tasks of a job must be pushed with the same rank.
   void push(const std::string &Workspace, JobRank Rank, JobNumber Job,
             std::uint32_t Index);
-  /// Drops everything that waits of a job.
+  /// Removes all waiting tasks of a job.
   void removeJob(const std::string &Workspace, JobRank Rank, JobNumber Job);
 
-  /// The task that goes next; it stays queued until pop(). Nothing if no
-  /// workspace both waits and is under its capacity.
+  /// Returns the next task, which stays queued until pop(). Returns none unless
+  /// a workspace has waiting tasks and is below its capacity.
   std::optional<WaitingTask> front() const;
-  /// Takes the front and counts it as out.
+  /// Removes the front task and counts it as in flight.
   void pop();
-  /// A task that was out has ended or has come back.
+  /// Records that a task in flight has ended or has been returned.
   void onSettled(const std::string &Workspace);
 
   std::size_t waiting(const std::string &Workspace) const;
   std::size_t waiting() const { return this->Total; }
-  /// Tasks that are out, over all workspaces.
+  /// Returns the number of tasks in flight over all workspaces.
   std::size_t inFlight() const { return this->TotalInFlight; }
 
 private:
@@ -82,14 +84,14 @@
     }
   };
 
-  /// Changes a line; its place among the ready ones follows.
+  /// Applies \p Change to a workspace's queue and updates ReadyQueues.
   template <typename Edit>
   void modify(const std::string &Workspace, Edit Change);
   static bool isReady(const WorkspaceQueue &Target);
 
   WorkspaceQueues Queues;
-  /// Lines that wait and are under their capacity, the next one first, so
-  /// that the choice does not look at every workspace.
+  /// Queues that have waiting tasks and are below their capacity, the next one
+  /// first, so that selecting it doesn't visit every workspace.
   std::set<const WorkspaceQueues::value_type *, ReadyOrder> ReadyQueues;
   double VirtualTime = 0;
   std::size_t Total = 0;
--- a/dispatch/late_binding_policy.cpp
+++ b/dispatch/late_binding_policy.cpp
@@ -4,8 +4,8 @@
 
 namespace {
 
-/// Tasks that wait at an agent beyond its slots, so that a slot that falls
-/// free there is taken without a message's delay.
+/// Maximum number of tasks that wait at an agent beyond its slots, so that a
+/// slot that becomes free there is filled without a message delay.
 constexpr std::uint32_t MaxQueuedAtAgent = 2;
 
 } // namespace
--- a/dispatch/late_binding_policy.h
+++ b/dispatch/late_binding_policy.h
@@ -1,7 +1,7 @@
-//===- dispatch/late_binding_policy.h --- *- C++ -*-===//
+//===- dispatch/late_binding_policy.h - Late binding ------------*- C++ -*-===//
 ///
 /// \file
-/// Sends to free slots first, then lets a few tasks wait at agents, and takes
+/// Sends tasks to free slots first, then lets a few wait at agents, and takes
 /// them back when another upstream has a free slot.
 ///
 //===----------------------------------------------------------------------===//
--- a/dispatch/load_forecast.cpp
+++ b/dispatch/load_forecast.cpp
@@ -38,7 +38,8 @@
 std::chrono::duration<double> LoadForecast::timeConstant() const {
   if (this->RunTimeSum <= 0)
     return this->Options.InitialRunTime;
-  // A long task holds its room for longer, and so is found there more often.
+  // Weighted by run time: a long task occupies its capacity for longer, and so
+  // is found there more often.
   return std::chrono::duration<double>(this->RunTimeSquareSum /
                                        this->RunTimeSum);
 }
--- a/dispatch/load_forecast.h
+++ b/dispatch/load_forecast.h
@@ -1,15 +1,16 @@
-//===- dispatch/load_forecast.h - What others hold by now -------*- C++ -*-===//
+//===- dispatch/load_forecast.h - Forecast of other load --------*- C++ -*-===//
 ///
 /// \file
-/// Tells from what was last heard of a worker how much of it other entries
-/// hold by now, and how sure that is.
+/// Estimates from a worker's last load report how much of the worker other
+/// entries use now, and how certain that is.
 ///
-/// Load pattern: many entries share many workers, so that each hears of any one
-/// worker seldom. What was heard then says little: tasks that ran there have
-/// ended and others have begun. An entry that takes it for the present sends
-/// whole jobs to workers that have long been full. So what was heard fades
-/// towards the pool's mean, in the time that tasks last, and the spread among
-/// the workers takes its place as doubt.
+/// Load pattern: many entries share many workers, so that each entry rarely
+/// hears from any particular worker. An old report then says little: tasks that
+/// ran there have ended and others have started. An entry that takes it for the
+/// current load sends whole jobs to workers that have long been full. The
+/// estimate therefore decays from the reported load to the pool's mean, at the
+/// rate at which tasks end, while its deviation grows to the spread among the
+/// workers.
 ///
 //===----------------------------------------------------------------------===//
 #ifndef YARDWHEEL_DISPATCH_LOAD_FORECAST_H
@@ -20,53 +21,57 @@
 namespace yardwheel {
 
 struct ForecastOptions {
-  /// Time over which the pool's mean and spread are taken. A mean of some tens
-  /// of reports follows a burst within half a second.
+  /// Time over which the pool's mean and spread are averaged. Short enough to
+  /// follow a burst within half a second, with some tens of reports in the
+  /// mean.
   std::chrono::milliseconds PoolWindow{500};
-  /// How long tasks last, until some have ended.
+  /// Assumed run time until some tasks have ended.
   std::chrono::milliseconds InitialRunTime{200};
-  /// What a task's length keeps of its weight with each later one, so that
-  /// some hundred tasks count.
+  /// Factor by which the weight of a task's run time decreases with each later
+  /// task, so that about a hundred tasks count.
   double WeightKeptPerTask = 0.99;
 };
 
-/// Shares of a worker's room, which may be above 1 where tasks wait.
+/// Load as a share of a worker's capacity; above 1 if tasks wait.
 struct Forecast {
   double Share = 0;
-  /// The standard deviation of what is really there around that.
+  /// Standard deviation of the actual share around Share.
   double Deviation = 0;
 };
 
-/// Of one pool.
+/// The forecast for the workers of one pool.
 class LoadForecast {
 public:
   explicit LoadForecast(ForecastOptions Options = {}) : Options(Options) {}
 
-  /// A worker has told which share of it others hold.
+  /// Records a worker's report of the share that other entries use.
   void onReport(double Share, TimePoint Now);
-  /// A task has run for as long as this.
+  /// Records the run time of a task.
   void onTaskEnded(std::chrono::milliseconds RunTime);
 
-  /// \param Share As heard. \param Age How long ago that was.
+  /// Returns the forecast for a worker. \param Share Share in the worker's last
+  /// report. \param Age Age of that report.
   Forecast at(double Share, Duration Age) const;
-  /// The same without its deviation.
+  /// Like at(), without the deviation.
   double shareAt(double Share, Duration Age) const;
 
 private:
-  /// What is left of a report by now.
+  /// Returns the weight of a report of the given age.
   double weightAfter(Duration Age) const;
   double poolMean() const;
   double poolDeviation() const;
-  /// How long a unit of work that is under way lasts.
+  /// Returns the mean run time of a unit of work in progress, which is the time
+  /// constant of the decay.
   std::chrono::duration<double> timeConstant() const;
 
   ForecastOptions Options;
-  /// Reports, their shares and the squares of these, each by its weight.
+  /// Weighted number of reports, and weighted sums of their shares and squared
+  /// shares.
   double ReportWeight = 0;
   double ShareSum = 0;
   double ShareSquareSum = 0;
   TimePoint LastReport;
-  /// Lengths of tasks in seconds and their squares, each by its weight.
+  /// Weighted sums of the run times of tasks, in seconds, and of their squares.
   double RunTimeSum = 0;
   double RunTimeSquareSum = 0;
 };
--- a/dispatch/packed_placement.cpp
+++ b/dispatch/packed_placement.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-/// One of a list's elements, each as likely.
+/// Returns an element of the list, selected at random.
 std::size_t pick(const std::vector<std::size_t> &From,
                  std::mt19937_64 &Random) {
   std::uniform_int_distribution<std::size_t> Place(0, From.size() - 1);
@@ -25,8 +25,9 @@
       Fitting.push_back(I);
   if (Fitting.empty())
     return false;
-  // The least loaded of all would be the same for every entry, whose knowledge
-  // of each other is a message old.
+  // Compares two random targets rather than all: the least loaded one of all
+  // would be the same for every entry, whose knowledge of each other is a
+  // message old.
   std::size_t One = pick(Fitting, Random);
   std::size_t Other = pick(Fitting, Random);
   Counter.assign(Counter.costAt(One) <= Counter.costAt(Other) ? One : Other,
--- a/dispatch/packed_placement.h
+++ b/dispatch/packed_placement.h
@@ -1,14 +1,13 @@
-//===- dispatch/packed_placement.h - As few workers as can start it -*- C++
-//-*-===//
+//===- dispatch/packed_placement.h - Fewest workers per job -----*- C++ -*-===//
 ///
 /// \file
-/// Puts a job on as few workers as can start all of it at once; only what
-/// starts nowhere at once waits, where it waits least.
+/// Places a job on as few workers as can start all of it immediately. Only
+/// tasks that can't start anywhere immediately wait, where they wait least.
 ///
-/// Load pattern: thousands of jobs a second of two to eight tasks each, and
-/// workers with room for some ten tasks, of which any may hang or be cut off.
-/// Each further worker of a job costs its entry a message each way, and is one
-/// more whose failure fails the job.
+/// Load pattern: thousands of jobs per second with two to eight tasks each, and
+/// workers with capacity for about ten tasks, any of which may hang or be cut
+/// off. Each additional worker of a job costs its entry a message in each
+/// direction and is another one whose failure fails the job.
 ///
 //===----------------------------------------------------------------------===//
 #ifndef YARDWHEEL_DISPATCH_PACKED_PLACEMENT_H
@@ -27,12 +26,12 @@
                                      std::mt19937_64 &Random) const override;
 
 private:
-  /// Gives all that is left to one target that starts it at once, the better
-  /// of two picked at random. \returns whether there is one.
+  /// Assigns all remaining tasks to one target that can start them immediately,
+  /// the better of two selected at random. \returns whether there is one.
   static bool assignAll(ShareCounter &Counter, std::size_t Targets,
                         std::mt19937_64 &Random);
-  /// Fills the target that starts most tasks at once. \returns whether any
-  /// starts one.
+  /// Fills the target that can start the most tasks immediately. \returns
+  /// whether any can start one.
   static bool fillLargest(ShareCounter &Counter, std::size_t Targets,
                           std::mt19937_64 &Random);
 };
--- a/dispatch/random_policy.h
+++ b/dispatch/random_policy.h
@@ -1,7 +1,7 @@
-//===- dispatch/random_policy.h --- *- C++ -*-===//
+//===- dispatch/random_policy.h - Random upstream ---------------*- C++ -*-===//
 ///
 /// \file
-/// Naive baseline: any upstream that may get work, at random, however busy.
+/// Naive baseline: selects any eligible upstream at random, however busy.
 ///
 //===----------------------------------------------------------------------===//
 #ifndef YARDWHEEL_DISPATCH_RANDOM_POLICY_H
--- a/dispatch/retry_budget.h
+++ b/dispatch/retry_budget.h
@@ -1,8 +1,9 @@
-//===- dispatch/retry_budget.h - Bounds what retries amplify ----*- C++ -*-===//
+//===- dispatch/retry_budget.h - Bound on retries ---------------*- C++ -*-===//
 ///
 /// \file
-/// Each first send earns a share of a retry, and each retry spends one. A
-/// small reserve lets a quiet workspace retry at all.
+/// Limits retries to a share of the first attempts. Each first send earns a
+/// fraction of a retry, and each retry spends one. A small initial balance lets
+/// a workspace with little traffic retry at all.
 ///
 //===----------------------------------------------------------------------===//
 #ifndef YARDWHEEL_DISPATCH_RETRY_BUDGET_H
@@ -15,7 +16,7 @@
 class RetryBudget {
 public:
   void onFirstSend(std::uint32_t BudgetPercent);
-  /// \returns whether a retry may be made, and spends it.
+  /// Spends one retry if the balance allows it. \returns whether it did.
   bool trySpend();
 
 private:
--- a/dispatch/round_robin_policy.h
+++ b/dispatch/round_robin_policy.h
@@ -1,7 +1,7 @@
-//===- dispatch/round_robin_policy.h --- *- C++ -*-===//
+//===- dispatch/round_robin_policy.h - Upstreams in turn --------*- C++ -*-===//
 ///
 /// \file
-/// Naive baseline: one upstream after the other, however busy.
+/// Naive baseline: selects the eligible upstreams in turn, however busy.
 ///
 //===----------------------------------------------------------------------===//
 #ifndef YARDWHEEL_DISPATCH_ROUND_ROBIN_POLICY_H
--- a/dispatch/share_counter.cpp
+++ b/dispatch/share_counter.cpp
@@ -8,16 +8,16 @@
 namespace {
 
 /// Breaks ties between workers that look alike, so that entries which see the
-/// same loads do not all send to the same one. A share of the room.
+/// same loads don't all select the same one. A share of the capacity.
 constexpr double TieBreakJitter = 0.03;
-/// Room counts as sure if so many standard deviations more than expected still
-/// leave it. Others place several tasks at a time, so that surprises are large:
-/// with one deviation, 51 entries and 240 workers at a third of their room had
-/// 0.158 of their tasks given back, with four 0.054 (virtual time, two seeds).
+/// Capacity counts as certain if it remains free with this many standard
+/// deviations more load than expected. Other entries place several tasks at a
+/// time, so deviations are large: with a single one, far more tasks are given
+/// back by workers that turn out to be full.
 constexpr double SafetyDeviations = 4;
-/// By how many deviations the load of a worker is drawn around what is
-/// expected. Enough for entries to differ; with a whole one, what is known is
-/// drowned (at 0.8 of the room 0.782 of the credit in place of 0.914).
+/// Number of standard deviations by which a worker's load is sampled around the
+/// expected one. Enough for entries to choose differently; with a whole
+/// deviation, the noise drowns out what is known.
 constexpr double SampledDeviations = 0.2;
 
 } // namespace
@@ -61,10 +61,10 @@
 
 double ShareCounter::costAt(std::size_t Index) const {
   const PlacementTarget &Target = this->Targets[Index];
-  double Taken =
+  double Load =
       static_cast<double>(Target.LoadMilliCores) + this->Demand.CpuMilliCores;
-  Taken = std::max(Taken + this->SampledOffsets[Index], 0.0);
-  return Taken / std::max<double>(Target.CapacityMilliCores, 1) *
+  Load = std::max(Load + this->SampledOffsets[Index], 0.0);
+  return Load / std::max<double>(Target.CapacityMilliCores, 1) *
          Target.RunTimeFactor;
 }
 
--- a/dispatch/share_counter.h
+++ b/dispatch/share_counter.h
@@ -1,4 +1,4 @@
-//===- dispatch/share_counter.h - Adds up a placement's shares --*- C++ -*-===//
+//===- dispatch/share_counter.h - Shares of a placement ---------*- C++ -*-===//
 #ifndef YARDWHEEL_DISPATCH_SHARE_COUNTER_H
 #define YARDWHEEL_DISPATCH_SHARE_COUNTER_H
 
@@ -6,7 +6,7 @@
 
 namespace yardwheel {
 
-/// Gives tasks to targets and keeps what each target has left up to date.
+/// Assigns tasks to targets and updates the remaining capacity of each target.
 class ShareCounter {
 public:
   ShareCounter(const PlacementDemand &Demand,
@@ -14,18 +14,21 @@
 
   std::uint32_t remaining() const { return this->Remaining; }
 
-  /// Tasks that would start at once at a target, as far as is known.
+  /// Returns the number of tasks that are expected to start immediately on a
+  /// target.
   std::uint32_t tasksStartingNow(std::size_t Index) const;
-  /// The same, leaving out those of which there is some doubt.
+  /// Like tasksStartingNow(), counting only tasks that start even if the load
+  /// exceeds its estimate by a safety margin.
   std::uint32_t tasksSureToStart(std::size_t Index) const;
-  /// The share of the target's room that is taken once it has one task more,
-  /// stretched like its run. Where that is in doubt, one of the shares that it
-  /// may be, drawn once: entries that know as little then choose differently.
+  /// Returns the share of the target's capacity that is in use with one more
+  /// task, multiplied by its run-time factor. If the load is uncertain, a value
+  /// sampled once from its distribution is used, so that entries with the same
+  /// knowledge choose differently.
   double costAt(std::size_t Index) const;
 
   void assign(std::size_t Index, std::uint32_t Tasks);
-  /// Gives one task to the target where it costs least. \returns whether there
-  /// is one that may take it.
+  /// Assigns one task to the target with the lowest cost. \returns whether any
+  /// target may take it.
   bool assignOneToCheapest();
 
   std::vector<PlacementShare> shares() const;
@@ -37,7 +40,8 @@
   const PlacementDemand &Demand;
   std::vector<PlacementTarget> &Targets;
   std::vector<std::uint32_t> Assigned;
-  /// By how much more than expected is taken at each target, as drawn.
+  /// Sampled difference between the actual and the expected load of each
+  /// target, in thousandths of a core.
   std::vector<double> SampledOffsets;
   std::uint32_t Remaining;
   std::mt19937_64 &Random;
--- a/dispatch/slot_borrow_policy.cpp
+++ b/dispatch/slot_borrow_policy.cpp
@@ -4,9 +4,10 @@
 
 namespace {
 
-/// Tasks that may wait at an agent beyond its slots, as far as is known, so
-/// that a slot that falls free there is taken without a message's delay.
-/// More of them start later than at the upstream that falls free first.
+/// Maximum number of tasks expected to wait at an agent beyond its slots, so
+/// that a slot that becomes free there is filled without a message delay.
+/// Further tasks would start later than on the upstream that becomes free
+/// first.
 constexpr std::uint32_t MaxQueuedAtAgent = 1;
 
 } // namespace
--- a/dispatch/slot_borrow_policy.h
+++ b/dispatch/slot_borrow_policy.h
@@ -1,9 +1,9 @@
-//===- dispatch/slot_borrow_policy.h --- *- C++ -*-===//
+//===- dispatch/slot_borrow_policy.h - Borrowing of free slots --*- C++ -*-===//
 ///
 /// \file
-/// Prefers free slots of this entry's own share and then borrows slots of
-/// others that are believed free. A borrowed slot may turn out taken; the
-/// task then waits at the agent for one of its slots.
+/// Prefers free slots of this entry's own share, then borrows slots of other
+/// entries that are believed free. A borrowed slot may turn out to be in use;
+/// the task then waits at the agent for one of its slots.
 ///
 //===----------------------------------------------------------------------===//
 #ifndef YARDWHEEL_DISPATCH_SLOT_BORROW_POLICY_H
--- a/dispatch/slot_share_policy.h
+++ b/dispatch/slot_share_policy.h
@@ -1,8 +1,8 @@
-//===- dispatch/slot_share_policy.h --- *- C++ -*-===//
+//===- dispatch/slot_share_policy.h - Own slots only ------------*- C++ -*-===//
 ///
 /// \file
-/// Sends only to slots of this entry's own share, so that no task is sent to
-/// a slot that is taken; the rest waits at the entry.
+/// Sends only to slots of this entry's own share, so that no task is sent to a
+/// slot in use; all other tasks wait at the entry.
 ///
 //===----------------------------------------------------------------------===//
 #ifndef YARDWHEEL_DISPATCH_SLOT_SHARE_POLICY_H
--- a/dispatch/spread_placement.h
+++ b/dispatch/spread_placement.h
@@ -1,9 +1,9 @@
-//===- dispatch/spread_placement.h - Task by task, emptiest first -*- C++ -*-=//
+//===- dispatch/spread_placement.h - Least loaded worker --------*- C++ -*-===//
 ///
 /// \file
-/// Gives each task to the worker with the least of its room taken. A job of
-/// several tasks then hangs on as many workers, each of which costs messages
-/// and may fail. The baseline that packed placement is compared with.
+/// Assigns each task to the worker with the lowest load. A job of several tasks
+/// then depends on as many workers, each of which costs messages and may fail.
+/// Serves as the baseline for packed placement.
 ///
 //===----------------------------------------------------------------------===//
 #ifndef YARDWHEEL_DISPATCH_SPREAD_PLACEMENT_H
--- a/dispatch/two_choices_policy.cpp
+++ b/dispatch/two_choices_policy.cpp
@@ -9,7 +9,7 @@
     return std::nullopt;
   UpstreamIndex First = Eligible[Random() % Eligible.size()];
   UpstreamIndex Second = Eligible[Random() % Eligible.size()];
-  // Compares load per slot without a division.
+  // Compares the load per slot without a division.
   const Upstream &A = Table.at(First);
   const Upstream &B = Table.at(Second);
   return A.load() * B.Slots <= B.load() * A.Slots ? First : Second;
--- a/dispatch/two_choices_policy.h
+++ b/dispatch/two_choices_policy.h
@@ -1,8 +1,8 @@
-//===- dispatch/two_choices_policy.h --- *- C++ -*-===//
+//===- dispatch/two_choices_policy.h - Better of two upstreams --*- C++ -*-===//
 ///
 /// \file
-/// The less loaded of two upstreams picked at random. Needs little knowledge,
-/// but several entries that share it may pick the same one.
+/// Selects the less loaded of two random upstreams. Needs little knowledge, but
+/// entries with the same view may select the same one.
 ///
 //===----------------------------------------------------------------------===//
 #ifndef YARDWHEEL_DISPATCH_TWO_CHOICES_POLICY_H
--- a/dispatch/upstream_table.cpp
+++ b/dispatch/upstream_table.cpp
@@ -10,7 +10,7 @@
 
 constexpr std::size_t NotEligible = SIZE_MAX;
 constexpr std::uint32_t WholePercent = 100;
-/// The deepest agent queue that the queue-room index tells apart.
+/// Maximum length of an agent's queue that the ByQueueRoom index distinguishes.
 constexpr int QueueRoomRange = 256;
 
 } // namespace
@@ -36,7 +36,7 @@
   if (NewIncarnation) {
     if (Target.Ejected)
       --this->EjectedCount;
-    // What was known of the older life says nothing of this one.
+    // The state of the older incarnation doesn't apply to the new one.
     Target = Upstream();
     Target.Incarnation = Member.incarnation();
     Target.Freshness = Member.freshness();
@@ -65,11 +65,11 @@
 
 void UpstreamTable::assignShare(Upstream &Target) const {
   std::uint32_t Base = Target.Slots / this->Entries;
-  std::uint32_t Rest = Target.Slots % this->Entries;
-  // The odd slots go round by the upstream's name, so that each entry gets
-  // about as many over the whole pool.
-  std::uint64_t Turn = (stableHash(Target.Name) + this->Position);
-  Target.Share = Base + (Turn % this->Entries < Rest ? 1 : 0);
+  std::uint32_t Remainder = Target.Slots % this->Entries;
+  // The remaining slots are assigned in rotation, offset by the upstream's
+  // name, so that each entry gets about the same number over the whole pool.
+  std::uint64_t Offset = (stableHash(Target.Name) + this->Position);
+  Target.Share = Base + (Offset % this->Entries < Remainder ? 1 : 0);
 }
 
 void UpstreamTable::onLoadReport(UpstreamIndex Index,
@@ -81,7 +81,7 @@
     Target.Alive = false;
   Target.Unreachable = false;
   Target.LastHeard = Now;
-  // An older word that comes late says less than what is known.
+  // A delayed older report must not replace newer data.
   if (Load.freshness() >= Target.Freshness) {
     Target.Freshness = Load.freshness();
     std::uint32_t Busy = Load.running() + Load.queued();
--- a/dispatch/upstream_table.h
+++ b/dispatch/upstream_table.h
@@ -1,11 +1,11 @@
-//===- dispatch/upstream_table.h - An entry's view of its upstreams -*- C++
-//-*-===//
+//===- dispatch/upstream_table.h - Known upstreams of a pool ----*- C++ -*-===//
 ///
 /// \file
-/// What one entry knows of the upstreams of one pool: who may get work, how
-/// many tasks each has of ours, what it last said of others' tasks, and how
-/// it has fared lately. Knowledge of others' tasks is as old as the last
-/// message, and no decision relies on it being fresh.
+/// Tracks the upstreams of one pool, as one entry sees them: which are eligible
+/// for work, how many tasks of this entry each has, how many tasks of other
+/// entries it last reported, and its recent failures. Knowledge of other
+/// entries' tasks is as old as the last message, and no decision relies on it
+/// being current.
 ///
 //===----------------------------------------------------------------------===//
 #ifndef YARDWHEEL_DISPATCH_UPSTREAM_TABLE_H
@@ -22,11 +22,12 @@
 
 namespace yardwheel {
 
-/// How an upstream that fails its tasks is taken out and tried again.
+/// How an upstream that fails its tasks is ejected and readmitted.
 struct EjectionRules {
   std::chrono::milliseconds FirstBackoff{1000};
   std::chrono::milliseconds MaxBackoff{30000};
-  /// No more than this share of the upstreams is out at once, in percent.
+  /// Maximum share of the upstreams that may be ejected at the same time, in
+  /// percent.
   std::uint32_t MaxEjectedPercent = 50;
 };
 
@@ -37,21 +38,21 @@
   std::uint32_t Slots = 0;
   peer::Resources Resources;
   bool Alive = false;
-  /// Given up on by this entry until it is heard of again.
+  /// Considered unreachable by this entry until it is heard from again.
   bool Unreachable = false;
 
-  /// Tasks that this entry sent and that have not ended.
+  /// Tasks that this entry has sent and that have not ended.
   std::uint32_t OwnTasks = 0;
-  /// Tasks of other entries, as the agent last told.
+  /// Tasks of other entries, as last reported by the agent.
   std::uint32_t OtherTasks = 0;
-  /// Slots that this entry alone may count on.
+  /// Slots reserved for this entry.
   std::uint32_t Share = 0;
   std::uint64_t Freshness = 0;
   TimePoint LastHeard;
 
   std::uint32_t FailuresInRow = 0;
   bool Ejected = false;
-  /// Back from ejection with one task at a time, until one succeeds.
+  /// Readmitted after an ejection; gets one task at a time until one succeeds.
   bool OnProbation = false;
   TimePoint EjectedUntil;
   std::chrono::milliseconds Backoff{};
@@ -59,33 +60,34 @@
   std::uint32_t load() const { return this->OwnTasks + this->OtherTasks; }
 };
 
-/// Whether a worker, when empty, has what a task needs.
+/// Whether an empty worker has the resources that a task needs.
 bool fits(const peer::Resources &Has, const peer::Resources &Needs);
 
 class UpstreamTable {
 public:
   explicit UpstreamTable(EjectionRules Rules = {}) : Rules(Rules) {}
 
-  /// Takes a member's announcement. \returns its place, and sets
-  /// \p Replaced if an older life of it has ended.
+  /// Applies a member's announcement. \returns the member's index, and sets \p
+  /// Replaced if an older incarnation of it has ended.
   UpstreamIndex update(const peer::Member &Member, bool &Replaced);
 
-  /// Divides the slots between \p Entries entries, of which this is number
-  /// \p Position from 0.
+  /// Divides the slots among \p Entries entries, of which this one has the
+  /// zero-based position \p Position.
   void setShares(std::uint32_t Position, std::uint32_t Entries);
 
-  /// Takes what an agent says of its load. Words of another life are dropped.
+  /// Applies an agent's load report. Reports of another incarnation are
+  /// ignored.
   void onLoadReport(UpstreamIndex Index, const peer::AgentLoad &Load,
                     TimePoint Now);
 
   void onSent(UpstreamIndex Index);
-  /// A task ended or was proved not to have started.
+  /// Records that a task has ended or was proved not to have started.
   void onSettled(UpstreamIndex Index);
   void onSuccess(UpstreamIndex Index);
   void onFailure(UpstreamIndex Index, std::uint32_t Threshold, TimePoint Now);
   void setUnreachable(UpstreamIndex Index, bool Unreachable);
 
-  /// Lets ejected upstreams back whose time is up.
+  /// Readmits the upstreams whose ejection has expired.
   void tick(TimePoint Now);
 
   std::size_t size() const { return this->Upstreams.size(); }
@@ -94,17 +96,18 @@
   }
   std::optional<UpstreamIndex> find(const std::string &Name) const;
   std::uint32_t aliveSlots() const;
-  /// Whether any upstream, even when busy or out, could ever hold the task.
+  /// Whether any upstream, even a busy or ejected one, could ever run the task.
   bool fitsSomewhere(const peer::Resources &Needs) const;
 
-  /// The upstreams that may get work now, in no particular order.
+  /// Returns the upstreams that may get work now, in no particular order.
   const std::vector<UpstreamIndex> &eligible() const { return this->Eligible; }
-  /// Eligible upstreams by their free slots of this entry's share.
+  /// Returns the eligible upstreams by the free slots of this entry's share.
   const BucketIndex &byOwnFree() const { return this->ByOwnFree; }
-  /// Eligible upstreams by the slots believed free of anybody's tasks.
+  /// Returns the eligible upstreams by the slots believed free of all entries'
+  /// tasks.
   const BucketIndex &byTotalFree() const { return this->ByTotalFree; }
-  /// The eligible upstream with the shortest queue, if fewer than \p Ahead
-  /// tasks are believed to wait there beyond its slots.
+  /// Returns the eligible upstream with the shortest queue if fewer than \p
+  /// Ahead tasks are believed to wait there beyond its slots.
   std::optional<UpstreamIndex> shortestQueue(std::uint32_t Ahead,
                                              std::mt19937_64 &Random) const;
 
@@ -119,7 +122,7 @@
   std::vector<Upstream> Upstreams;
   std::unordered_map<std::string, UpstreamIndex> ByName;
   std::vector<UpstreamIndex> Eligible;
-  /// Place in Eligible, or absent, of each upstream.
+  /// Position of each upstream in Eligible, or NotEligible.
   std::vector<std::size_t> EligiblePosition;
   BucketIndex ByOwnFree;
   BucketIndex ByTotalFree;
--- a/dispatch/waiting_rule.h
+++ b/dispatch/waiting_rule.h
@@ -1,19 +1,19 @@
-//===- dispatch/waiting_rule.h - Where tasks without room wait --*- C++ -*-===//
+//===- dispatch/waiting_rule.h - Where tasks wait ---------------*- C++ -*-===//
 ///
 /// \file
-/// Decides whether the tasks of a job that no worker can start at once wait at
-/// their entry, for the first of several workers that falls free, or in the
-/// queue of one worker.
+/// Decides whether tasks that no worker can start immediately wait at their
+/// entry, for the first of several workers that becomes free, or in the queue
+/// of one worker.
 ///
-/// Load pattern: all workers are full for a moment, and a wide job of short
-/// tasks comes. In a worker's own queue each task waits for a slot of that
-/// worker, some 20 ms apart, and the job ends with the unluckiest of them.
-/// Asked at twice as many workers as it has tasks, it takes the first slots
-/// that fall free anywhere. A job with time to spare needs no such care, and
-/// its messages are saved.
+/// Load pattern: all workers are briefly full when a wide job of short tasks
+/// arrives. In a worker's own queue each task waits for a slot of that worker,
+/// about 20 ms apart, and the job ends with the task that waited longest. If
+/// the job requests offers from twice as many workers as it has tasks, it gets
+/// the first slots that become free anywhere. A job with time to spare doesn't
+/// need this and saves its messages.
 ///
-/// Gain, in virtual time with nine workers at nine tenths of their room: of the
-/// jobs of eight tasks of 60 ms, 0.989 in time in place of 0.883 (three seeds).
+/// Waiting for offers lets more wide jobs of short tasks meet their objectives
+/// while the workers are nearly full.
 ///
 //===----------------------------------------------------------------------===//
 #ifndef YARDWHEEL_DISPATCH_WAITING_RULE_H
@@ -25,22 +25,22 @@
 namespace yardwheel {
 
 struct WaitingOptions {
-  /// Off only to compare: tasks then always wait at a worker.
+  /// Switched off only for comparison: tasks then always wait at a worker.
   bool Enabled = true;
-  /// Jobs with less time than this before their latest start wait for offers.
-  /// A full worker frees some slots in it, so those with more time are safe in
-  /// any queue.
+  /// Jobs with less time than this before their latest start wait for offers. A
+  /// full worker frees some slots in this time, so that jobs with more time are
+  /// safe in any queue.
   std::chrono::milliseconds MaxUrgentSlack{150};
-  /// Larger pools do without. There a job that was sent where it does not fit
-  /// finds room at the next worker or the one after, without several times as
-  /// many messages: with 70 workers at 1.08 times their room jobs earned 0.882
-  /// of their credit without offers and 0.875 with them (virtual time).
+  /// Maximum pool size at which offers are used. In a larger pool, a job that
+  /// was sent where it doesn't fit finds capacity at one of the next two
+  /// workers, without several times as many messages; jobs earned slightly less
+  /// with offers there.
   std::size_t MaxWorkers = 24;
-  /// Workers that are asked for each waiting task.
+  /// Number of workers asked for an offer per waiting task.
   double WorkersPerTask = 2;
-  /// Share of the time before the latest start that is spent on waiting for
-  /// offers; then the tasks go into workers' queues, as an offer or an
-  /// interest may have been lost.
+  /// Fraction of the time before the latest start that is spent on waiting for
+  /// offers. After that, the tasks go into workers' queues, since an offer or a
+  /// request for one may have been lost.
   double OfferWaitFraction = 0.6;
 };
 
@@ -48,18 +48,18 @@
 public:
   explicit WaitingRule(WaitingOptions Options) : Options(Options) {}
 
-  /// Whether tasks wait for offers. \param Slack Until the latest start.
-  /// \param Workers How many there are in the pool.
+  /// Whether tasks wait for offers. \param Slack Time until the latest start.
+  /// \param Workers Number of workers in the pool.
   bool waitsForOffers(std::chrono::milliseconds Slack,
                       std::size_t Workers) const;
-  /// Whether any task waits for offers in a pool of this size.
+  /// Whether tasks may wait for offers in a pool of this size.
   bool usesOffers(std::size_t Workers) const {
     return this->Options.Enabled && Workers <= this->Options.MaxWorkers;
   }
-  /// For how long they do.
+  /// Returns how long tasks wait for offers.
   std::chrono::milliseconds
   offerWaitTime(std::chrono::milliseconds Slack) const;
-  /// How many workers are asked.
+  /// Returns the number of workers that are asked for offers.
   std::size_t workersToQuery(std::size_t Tasks) const;
 
 private:
--- a/tests/dispatch/fair_queue_test.cpp
+++ b/tests/dispatch/fair_queue_test.cpp
@@ -8,7 +8,7 @@
 TEST_GROUP(FairQueueTest) {
   FairQueue Queue;
 
-  /// Takes \p Count tasks and counts them by workspace.
+  /// Pops up to \p Count tasks and returns their number by workspace.
   std::map<std::string, int> take(int Count) { return take(Queue, Count); }
   static std::map<std::string, int> take(FairQueue & Queue, int Count) {
     std::map<std::string, int> Taken;
@@ -50,7 +50,7 @@
   }
 }
 
-TEST(FairQueueTest, AnIdleWorkspaceSavesNothingUp) {
+TEST(FairQueueTest, AnIdleWorkspaceAccumulatesNoCredit) {
   Queue.configure("a", 100, 1000);
   Queue.configure("b", 100, 1000);
   fill("a", 100);
@@ -59,7 +59,7 @@
   LONGS_EQUAL(10, take(20)["b"]);
 }
 
-TEST(FairQueueTest, CapacityHoldsAWorkspaceBackAlone) {
+TEST(FairQueueTest, ACapacityLimitsOnlyItsWorkspace) {
   Queue.configure("a", 100, 3);
   Queue.configure("b", 100, 1000);
   fill("a", 10);
--- a/tests/dispatch/placement_test.cpp
+++ b/tests/dispatch/placement_test.cpp
@@ -40,14 +40,14 @@
 
 TEST_GROUP(PlacementTest) { std::mt19937_64 Random{5}; };
 
-TEST(PlacementTest, EachNameMakesAPlacementAndNoOtherDoes) {
+TEST(PlacementTest, EachKnownNameMakesAPlacementAndNoOtherDoes) {
   for (const char *Name : {"packed", "spread"})
     CHECK(makePlacement(Name) != nullptr);
   CHECK_THROWS(Error, makePlacement("magic"));
 }
 
-// Each further worker costs messages and is one more that may fail.
-TEST(PlacementTest, APackedJobIsOnAsFewWorkersAsStartItAtOnce) {
+// Each additional worker costs messages and is another one that may fail.
+TEST(PlacementTest, APackedJobUsesTheFewestWorkersThatStartItImmediately) {
   struct Row {
     const char *Name;
     std::vector<Worker> Workers;
@@ -56,13 +56,17 @@
     bool StartsNow;
   };
   const Row Rows[] = {
-      {"fits one of all",
+      {"fits on one worker",
        {{4000, 3000}, {4000, 0}, {4000, 3000}},
        4,
        {4},
        true},
-      {"fits two", {{4000, 1000}, {4000, 2000}, {4000, 3500}}, 5, {2, 3}, true},
-      {"no more than it may have",
+      {"fits on two workers",
+       {{4000, 1000}, {4000, 2000}, {4000, 3500}},
+       5,
+       {2, 3},
+       true},
+      {"limited by a worker's maximum",
        {{9000, 0, 1}, {4000, 2000}},
        3,
        {1, 2},
@@ -72,10 +76,14 @@
        2,
        {2},
        false},
-      {"nothing is free", {{4000, 4000}, {9000, 9500}}, 1, {1}, false},
-      {"nobody may take it", {{4000, 0, 0}}, 2, {}, true},
-      {"some may not be placed", {{4000, 0, 1}, {4000, 0, 1}}, 3, {1, 1}, true},
-      {"room that is in doubt is not counted on",
+      {"all workers are full", {{4000, 4000}, {9000, 9500}}, 1, {1}, false},
+      {"no worker may take it", {{4000, 0, 0}}, 2, {}, true},
+      {"some tasks can't be placed",
+       {{4000, 0, 1}, {4000, 0, 1}},
+       3,
+       {1, 1},
+       true},
+      {"uncertain capacity is not used",
        {{4000, 0, UINT32_MAX, 1, 2000}, {4000, 1000}},
        3,
        {3},
@@ -96,15 +104,15 @@
   }
 }
 
-TEST(PlacementTest, ASpreadJobIsOnAsManyWorkersAsItHasTasks) {
+TEST(PlacementTest, ASpreadJobUsesAsManyWorkersAsItHasTasks) {
   auto Spread = makePlacement("spread");
   std::vector<PlacementShare> Shares = Spread->divide(
       {3, 1000}, targetsOf({{9000, 0}, {9000, 0}, {9000, 0}}), Random);
   LONGS_EQUAL(3, Shares.size());
 }
 
-// Several entries that see the same loads must not all choose the same worker.
-TEST(PlacementTest, EntriesThatSeeTheSameChooseDifferently) {
+// Entries that see the same loads must not all choose the same worker.
+TEST(PlacementTest, EntriesWithTheSameViewChooseDifferently) {
   auto Packed = makePlacement("packed");
   std::vector<Worker> Workers(10, {8000, 0});
   Workers[3].LoadMilliCores = 1000;
@@ -116,8 +124,8 @@
   CHECK(Chosen.size() >= 9);
 }
 
-// What is not known of workers must not make them look alike to every entry.
-TEST(PlacementTest, TasksWithoutSureRoomAreDividedAmongWorkersInDoubt) {
+// Workers whose load is uncertain must not look alike to every entry.
+TEST(PlacementTest, TasksWithoutCertainCapacityAreSpreadAmongUncertainWorkers) {
   auto Packed = makePlacement("packed");
   std::vector<Worker> Workers(60, {4000, 2000, UINT32_MAX, 1, 1500});
   std::set<std::size_t> Chosen;
@@ -132,7 +140,7 @@
   std::uniform_int_distribution<std::uint32_t> Load(0, 12000);
   std::uniform_int_distribution<std::uint32_t> Width(1, 40);
   for (const char *Name : {"packed", "spread"}) {
-    auto Places = makePlacement(Name);
+    auto Current = makePlacement(Name);
     for (int I = 0; I < 500; ++I) {
       std::vector<Worker> Workers;
       Workers.reserve(7);
@@ -141,7 +149,7 @@
       std::uint32_t Tasks = Width(Random);
       LONGS_EQUAL_TEXT(
           Tasks,
-          tasksIn(Places->divide({Tasks, 700}, targetsOf(Workers), Random)),
+          tasksIn(Current->divide({Tasks, 700}, targetsOf(Workers), Random)),
           Name);
     }
   }
--- a/tests/dispatch/policy_test.cpp
+++ b/tests/dispatch/policy_test.cpp
@@ -9,7 +9,8 @@
 
 namespace {
 
-/// Three upstreams of 4 slots, and two entries of which this is the first.
+/// Returns a table of three upstreams with 4 slots each, as the first of two
+/// entries sees it.
 UpstreamTable makeTable() {
   UpstreamTable Table;
   for (int I = 0; I < 3; ++I) {
@@ -35,27 +36,28 @@
   }
 }
 
-/// How many tasks a policy sends before it waits, at most 100.
+/// Returns the number of tasks that a policy sends before it waits, at most
+/// 100.
 int sendsUntilItWaits(RoutePolicy &Policy, UpstreamTable &Table) {
   std::mt19937_64 Random(3);
-  constexpr int Most = 100;
-  for (int I = 0; I < Most; ++I) {
+  constexpr int MaxSends = 100;
+  for (int I = 0; I < MaxSends; ++I) {
     std::optional<UpstreamIndex> Chosen = Policy.choose(Table, Random);
     if (!Chosen)
       return I;
     Table.onSent(*Chosen);
   }
-  return Most;
+  return MaxSends;
 }
 
 } // namespace
 
 TEST_GROUP(PolicyTest){};
 
-TEST(PolicyTest, EachSendsAsManyAsItMay) {
+TEST(PolicyTest, EachPolicySendsAsManyTasksAsAllowed) {
   struct Row {
     const char *Policy;
-    /// Slots that others' tasks take at each upstream.
+    /// Slots that other entries' tasks use at each upstream.
     std::uint32_t Others;
     int Sends;
     bool QueuesAtAgent;
@@ -78,7 +80,7 @@
   }
 }
 
-TEST(PolicyTest, NoneSendsToAUpstreamThatMayGetNoWork) {
+TEST(PolicyTest, NoPolicySendsToAnIneligibleUpstream) {
   for (std::string_view Name : PolicyNames) {
     UpstreamTable Table = makeTable();
     Table.setUnreachable(1, true);
--- a/tests/dispatch/upstream_table_test.cpp
+++ b/tests/dispatch/upstream_table_test.cpp
@@ -12,10 +12,10 @@
 const TimePoint Start{1h};
 constexpr std::uint32_t Threshold = 3;
 
-peer::Member member(const std::string &Name, std::uint64_t Life) {
+peer::Member member(const std::string &Name, std::uint64_t Incarnation) {
   peer::Member Member;
   Member.set_name(Name);
-  Member.set_incarnation(Life);
+  Member.set_incarnation(Incarnation);
   Member.set_slots(8);
   Member.set_state(peer::MEMBER_ALIVE);
   Member.mutable_resources()->set_cpus(16);
@@ -31,9 +31,9 @@
     for (int I = 0; I < 4; ++I)
       add(fmt::format("a{}", I), 1);
   }
-  UpstreamIndex add(const std::string &Name, std::uint64_t Life) {
+  UpstreamIndex add(const std::string &Name, std::uint64_t Incarnation) {
     bool Replaced = false;
-    return Table.update(member(Name, Life), Replaced);
+    return Table.update(member(Name, Incarnation), Replaced);
   }
 };
 
@@ -50,7 +50,8 @@
   }
 }
 
-TEST(UpstreamTableTest, AFailingUpstreamIsEjectedAndTriedAgainOneByOne) {
+TEST(UpstreamTableTest,
+     AFailingUpstreamIsEjectedAndReadmittedWithOneTaskAtATime) {
   for (std::uint32_t I = 0; I < Threshold; ++I) {
     LONGS_EQUAL(4, Table.eligible().size());
     Table.onFailure(0, Threshold, Start);
@@ -62,7 +63,7 @@
   LONGS_EQUAL(4, Table.eligible().size());
   Table.onSent(0);
   LONGS_EQUAL(3, Table.eligible().size());
-  // One failure on probation is enough, and the pause doubles.
+  // One failure on probation is enough, and the backoff doubles.
   Table.onSettled(0);
   Table.onFailure(0, Threshold, Start + 2s);
   Table.tick(Start + 3999ms);
@@ -82,7 +83,7 @@
   LONGS_EQUAL(2, Table.eligible().size());
 }
 
-TEST(UpstreamTableTest, ANewLifeForgetsTheOldOnesLoadAndFailures) {
+TEST(UpstreamTableTest, ANewIncarnationDropsTheOldOnesLoadAndFailures) {
   for (std::uint32_t I = 0; I < Threshold; ++I)
     Table.onFailure(0, Threshold, Start);
   Table.onSent(0);
@@ -96,7 +97,7 @@
   LONGS_EQUAL(4, Table.eligible().size());
 }
 
-TEST(UpstreamTableTest, OlderWordsDoNotReplaceNewerOnes) {
+TEST(UpstreamTableTest, OlderReportsDoNotReplaceNewerOnes) {
   peer::AgentLoad Load;
   Load.set_incarnation(1);
   Load.set_freshness(10);
@@ -109,7 +110,7 @@
   LONGS_EQUAL(6, Table.at(0).OtherTasks);
 }
 
-TEST(UpstreamTableTest, KnowsWhatFitsNowhere) {
+TEST(UpstreamTableTest, DetectsTasksThatFitNoUpstream) {
   struct Row {
     std::uint32_t Cpus;
     std::uint32_t Accelerators;
--- a/tests/dispatch/waiting_rule_test.cpp
+++ b/tests/dispatch/waiting_rule_test.cpp
@@ -7,7 +7,8 @@
 
 TEST_GROUP(WaitingRuleTest){};
 
-TEST(WaitingRuleTest, OnlyUrgentTasksThatCanStillBeInTimeWaitForOffers) {
+TEST(WaitingRuleTest,
+     OnlyUrgentTasksThatCanStillMeetTheirObjectiveWaitForOffers) {
   struct Row {
     std::chrono::milliseconds Slack;
     std::size_t Workers;
@@ -26,7 +27,7 @@
   }
 }
 
-TEST(WaitingRuleTest, TimeIsLeftForAWorkersQueue) {
+TEST(WaitingRuleTest, WaitingForOffersLeavesTimeForAWorkersQueue) {
   WaitingRule Rule{WaitingOptions()};
   CHECK(Rule.offerWaitTime(100ms) == 60ms);
   LONGS_EQUAL(16, Rule.workersToQuery(8));
