--- a/dispatch/slot_borrow_policy.cpp
+++ b/dispatch/slot_borrow_policy.cpp
@@ -4,10 +4,11 @@
 
 namespace {
 
-/// Tasks that may wait at an agent beyond its slots, as far as is known, so
-/// that a slot that falls free there is taken without a message's delay.
-/// More of them start later than at the upstream that falls free first.
-constexpr std::uint32_t QueueAhead = 1;
+/// Maximum number of tasks expected to wait at an agent beyond its slots, so
+/// that a slot that becomes free there is filled without a message delay.
+/// Further tasks would start later than on the upstream that becomes free
+/// first.
+constexpr std::uint32_t MaxQueuedAtAgent = 1;
 
 } // namespace
 
@@ -17,7 +18,7 @@
     return Own;
   if (std::optional<UpstreamIndex> Free = Table.byTotalFree().pickBest(Random))
     return Free;
-  return Table.shortestQueue(QueueAhead, Random);
+  return Table.shortestQueue(MaxQueuedAtAgent, Random);
 }
 
 } // namespace yardwheel
--- a/entry/lease_coordinator.cpp
+++ b/entry/lease_coordinator.cpp
@@ -71,7 +71,7 @@
   Contact &AgentContact = this->Contacts[Agent];
   AgentContact.UnansweredSince = TimePoint::max();
   AgentContact.FirstDispatchAt = TimePoint::max();
-  if (this->Workers.hear(Agent, Load, Now.Steady))
+  if (this->Workers.onLoadReport(Agent, Load, Now.Steady))
     this->onRestarted(Agent, Now);
   this->onCrashes(Agent, Load, Now);
 }
@@ -80,11 +80,11 @@
                                  const peer::WorkerLoad &Load, Instant Now) {
   for (const peer::WorkerCrash &Crash : Load.crashes())
     for (const std::string &Id :
-         this->Crashes.noteCrash(Agent, Crash, Now.Steady)) {
+         this->Crashes.onWorkerCrashed(Agent, Crash, Now.Steady)) {
       Job *Target = this->find(Id);
       if (Target == nullptr || Target->Phase != JobPhase::Running)
         continue;
-      std::string Why = this->Crashes.describeGivenUp(Id);
+      std::string Why = this->Crashes.describeAbandoned(Id);
       if (Why.empty()) {
         this->schedulePlacement(*Target);
         continue;
@@ -227,8 +227,8 @@
                                     Instant Now) {
   Target.MayHaveRun = true;
   if (Update.worker_lost())
-    this->Crashes.noteLost(Target.Request.Id, Update.index(), Agent,
-                           JobTask.Incarnation, Now.Steady);
+    this->Crashes.onWorkerLost(Target.Request.Id, Update.index(), Agent,
+                               JobTask.Incarnation, Now.Steady);
   this->settle(Target, JobTask, TaskPhase::Unplaced);
   // This worker looks the least loaded, so without this the task would be sent
   // there again.
@@ -274,7 +274,8 @@
   }
   // Retries on another worker if there is one.
   JobTask.Avoid = {Agent};
-  if (!this->Workers.hasChoice(Target.Request, JobTask.Avoid, Now.Steady))
+  if (!this->Workers.hasEligibleWorker(Target.Request, JobTask.Avoid,
+                                       Now.Steady))
     JobTask.Avoid.clear();
   this->schedulePlacement(Target);
 }
--- a/entry/lease_coordinator.h
+++ b/entry/lease_coordinator.h
@@ -17,11 +17,11 @@
 #include "core/peer_sink.h"
 #include "dispatch/waiting_rule.h"
 #include "entry/crash_record.h"
-#include "entry/lease_board.h"
 #include "entry/lease_metrics.h"
 #include "entry/leased_job.h"
 #include "entry/load_shedder.h"
 #include "entry/recent_ids.h"
+#include "entry/worker_table.h"
 
 #include <map>
 #include <memory>
@@ -112,7 +112,7 @@
   /// Retry delay sent to the caller of a job that was refused for lack of
   /// capacity. About the time in which a full worker finishes its tasks.
   std::chrono::milliseconds RetryAfter{1000};
-  LeaseBoardOptions Workers;
+  WorkerTableOptions Workers;
   ShedderOptions Shedder;
   WaitingOptions Waiting;
   CrashRecordOptions Crashes;
@@ -197,7 +197,7 @@
   std::size_t inFlight() const { return this->WaitingCallers; }
   /// Whether any worker is reachable. Without one, every job is refused.
   bool hasWorkers() const { return this->Workers.hasReachable(); }
-  const LeaseBoard &workerTable() const { return this->Workers; }
+  const WorkerTable &workerTable() const { return this->Workers; }
   const CoordinatorCounters &counters() const { return this->Counters; }
   const LeaseMetrics &metrics() const { return this->Metrics; }
 
@@ -428,7 +428,7 @@
   Logger Log{"coordinator"};
   PeerSink &Sink;
   LeasedAnswerSink &Answers;
-  LeaseBoard Workers;
+  WorkerTable Workers;
   LoadShedder Shedder;
   WaitingRule Waits;
   std::mt19937_64 Random;
--- a/entry/lease_coordinator_placement.cpp
+++ b/entry/lease_coordinator_placement.cpp
@@ -41,7 +41,7 @@
       continue;
     // The task waits here until it is known whether the workers lost under it
     // have crashed.
-    if (this->Crashes.verdict(Target.Request.Id, I) == CrashVerdict::Held)
+    if (this->Crashes.verdict(Target.Request.Id, I) == CrashVerdict::OnHold)
       continue;
     Groups[JobTask.Avoid].push_back(I);
     Allowed = Allowed && JobTask.Attempt < this->Options.MaxPlacements;
@@ -92,7 +92,8 @@
   }
   if (Next == Indexes.size())
     return true;
-  if (!Awaits || !this->Workers.hasChoice(Target.Request, Avoid, Now.Steady))
+  if (!Awaits ||
+      !this->Workers.hasEligibleWorker(Target.Request, Avoid, Now.Steady))
     return false;
   this->awaitOffers(Target, Avoid,
                     static_cast<std::uint32_t>(Indexes.size() - Next), Now);
@@ -153,7 +154,7 @@
          {"attempt", Order.tasks(0).attempt()},
          {"first_order", Order.tasks(0).order()},
          {"tasks", Order.tasks_size()},
-         {"heard_ms_ago", millisBetween(Worker->Heard, Now.Steady)}});
+         {"heard_ms_ago", millisBetween(Worker->LastHeard, Now.Steady)}});
     peer::Message Message;
     *Message.mutable_leased_dispatch() = std::move(Order);
     this->Sink.send(Worker->Agent, std::move(Message));
--- a/entry/lease_coordinator_watch.cpp
+++ b/entry/lease_coordinator_watch.cpp
@@ -42,7 +42,7 @@
 
 void LeaseCoordinator::onUndelivered(const Undelivered &Lost, Instant Now) {
   LeasedWorker *Worker = this->Workers.find(Lost.To.Node);
-  if (Worker == nullptr || Worker->Silent)
+  if (Worker == nullptr || Worker->Unreachable)
     return;
   // While this process catches up on its input, it neither judges agents nor
   // sends more messages. What an agent has not received is missing from its
@@ -53,14 +53,14 @@
   // All messages in transit when a connection broke are reported as undelivered
   // together.
   bool SameBreak = Lost.SentAt < AgentContact.LastResendAt;
-  bool ReceivedSince = Worker->Heard >= AgentContact.LastResendAt;
+  bool ReceivedSince = Worker->LastHeard >= AgentContact.LastResendAt;
   if (SameBreak || ReceivedSince) {
     if (!SameBreak)
       AgentContact.LastResendAt = Now.Steady;
     this->resend(*Worker, Lost, Now);
     return;
   }
-  this->Workers.setSilent(Lost.To.Node);
+  this->Workers.setUnreachable(Lost.To.Node);
   this->giveUpAgentTasks(Lost.To.Node, /*OnlyOldIncarnations=*/false,
                          "messages to it were undelivered twice in a row", Now);
 }
@@ -296,7 +296,7 @@
       AgentContact.FirstDispatchAt = TimePoint::max();
     }
     if (isUnanswered(AgentContact, this->Options.SuspectTimeout, Now))
-      this->Workers.setDoubtful(Agent);
+      this->Workers.setSuspect(Agent);
     bool Idle = Worker.OwnTasks == 0;
     if (!Idle &&
         isUnanswered(AgentContact, this->Options.AgentLossTimeout, Now))
@@ -320,7 +320,7 @@
         "control reported it lost and it is unreachable from this entry", Now);
   }
   for (const std::string &Agent : Unresponsive) {
-    this->Workers.setSilent(Agent);
+    this->Workers.setUnreachable(Agent);
     this->giveUpAgentTasks(Agent, /*OnlyOldIncarnations=*/false,
                            "it left lease renewals unanswered", Now);
   }
@@ -337,10 +337,10 @@
     return NothingReceived || Now.Steady >= AgentContact.NextRenewal;
   }
   // An idle agent is probed only if nothing else has been received from it.
-  std::chrono::milliseconds Pause = Worker.Silent || Worker.Doubtful
+  std::chrono::milliseconds Pause = Worker.Unreachable || Worker.Suspect
                                         ? this->Options.UnreachableProbeInterval
                                         : AgentContact.IdleProbeDelay;
-  return Now.Steady - std::max(AgentContact.LastRenewalAt, Worker.Heard) >=
+  return Now.Steady - std::max(AgentContact.LastRenewalAt, Worker.LastHeard) >=
          Pause;
 }
 
--- a/entry/load_shedder.cpp
+++ b/entry/load_shedder.cpp
@@ -5,49 +5,50 @@
 
 namespace yardwheel {
 
-double LoadShedder::loadOf(const Offered &Known, TimePoint Now) const {
+double LoadShedder::loadOf(const RouteLoad &Known, TimePoint Now) const {
   std::chrono::duration<double> Age = Now - Known.Updated;
-  std::chrono::duration<double> Memory = this->Options.Memory;
-  return Known.CoreMillis * std::exp(-Age / Memory);
+  std::chrono::duration<double> Window = this->Options.LoadWindow;
+  return Known.CoreMilliseconds * std::exp(-Age / Window);
 }
 
-void LoadShedder::onOffered(const std::string &Route, double CoreMillis,
+void LoadShedder::onOffered(const std::string &Route, double CoreMilliseconds,
                             TimePoint Now) {
-  Offered &Known = this->Routes[Route];
-  Known.CoreMillis = this->loadOf(Known, Now) + CoreMillis;
+  RouteLoad &Known = this->Routes[Route];
+  Known.CoreMilliseconds = this->loadOf(Known, Now) + CoreMilliseconds;
   Known.Updated = Now;
 }
 
 void LoadShedder::onPressure(double Pressure, TimePoint Now) {
   std::chrono::duration<double> Age = Now - this->PressureSeen;
-  std::chrono::duration<double> Memory = this->Options.StandingMemory;
-  double Kept = std::exp(-Age / Memory);
-  this->StandingPressure =
-      Kept * this->StandingPressure + (1 - Kept) * Pressure;
+  std::chrono::duration<double> Window = this->Options.PressureWindow;
+  double Weight = std::exp(-Age / Window);
+  this->AveragePressure =
+      Weight * this->AveragePressure + (1 - Weight) * Pressure;
   this->PressureSeen = Now;
 }
 
-double LoadShedder::lowestLimit() const {
-  double Room = this->Options.StandingLimit - 1;
-  if (Room <= 0)
-    return this->Options.LowestLimit;
-  double Standing = std::clamp((this->StandingPressure - 1) / Room, 0.0, 1.0);
-  return this->Options.LowestLimit -
-         Standing * (this->Options.LowestLimit - this->Options.StandingLimit);
+double LoadShedder::busiestRouteLimit() const {
+  double Span = this->Options.SustainedLimit - 1;
+  if (Span <= 0)
+    return this->Options.BusiestRouteLimit;
+  double Sustained = std::clamp((this->AveragePressure - 1) / Span, 0.0, 1.0);
+  return this->Options.BusiestRouteLimit -
+         Sustained *
+             (this->Options.BusiestRouteLimit - this->Options.SustainedLimit);
 }
 
 double LoadShedder::limitFor(const std::string &Route, TimePoint Now) const {
   auto Found = this->Routes.find(Route);
   if (Found == this->Routes.end())
-    return this->Options.HighestLimit;
-  double Most = 0;
+    return this->Options.MaxRouteLimit;
+  double MaxLoad = 0;
   for (const auto &[Name, Known] : this->Routes)
-    Most = std::max(Most, this->loadOf(Known, Now));
-  double Own = this->loadOf(Found->second, Now);
-  if (Own <= 0)
-    return this->Options.HighestLimit;
-  return std::min(this->lowestLimit() * std::sqrt(Most / Own),
-                  this->Options.HighestLimit);
+    MaxLoad = std::max(MaxLoad, this->loadOf(Known, Now));
+  double OwnLoad = this->loadOf(Found->second, Now);
+  if (OwnLoad <= 0)
+    return this->Options.MaxRouteLimit;
+  return std::min(this->busiestRouteLimit() * std::sqrt(MaxLoad / OwnLoad),
+                  this->Options.MaxRouteLimit);
 }
 
 } // namespace yardwheel
--- /dev/null
+++ b/entry/worker_table.h
@@ -0,0 +1,223 @@
+//===- entry/worker_table.h - An entry's leased workers ---------*- C++ -*-===//
+///
+/// \file
+/// Tracks the agents that run leased tasks, as this entry sees them: the
+/// capacity of their workers, how much of it this entry uses, how much other
+/// entries were last reported to use, and recent failures. Selects the agents
+/// for a job's tasks.
+///
+//===----------------------------------------------------------------------===//
+#ifndef YARDWHEEL_ENTRY_WORKER_TABLE_H
+#define YARDWHEEL_ENTRY_WORKER_TABLE_H
+
+#include "core/clock.h"
+#include "core/logger.h"
+#include "core/peer_sink.h"
+#include "dispatch/load_forecast.h"
+#include "dispatch/placement.h"
+#include "entry/leased_job.h"
+
+#include <map>
+#include <memory>
+#include <random>
+#include <set>
+#include <string>
+#include <vector>
+
+namespace yardwheel {
+
+struct WorkerTableOptions {
+  /// Consecutive failures after which a worker is ejected and gets no new
+  /// tasks.
+  std::uint32_t EjectAfter = 3;
+  /// Time for which a worker is first ejected; doubles with each failed trial
+  /// up to MaxBackoff.
+  std::chrono::milliseconds FirstBackoff{500};
+  std::chrono::milliseconds MaxBackoff{8000};
+  /// An agent that control reports as lost stays in use while this entry has
+  /// heard from it within this time. Twice the probe interval of an idle agent.
+  std::chrono::milliseconds DirectContactTimeout{2000};
+  /// Maximum share of a pool's workers that may be ejected at the same time, in
+  /// percent.
+  std::uint32_t MaxEjectedPercent = 50;
+  /// Factor by which a run outside the preferred rack is expected to take
+  /// longer.
+  double OffRackFactor = 1.5;
+  /// Name of the placement that divides a job's tasks among workers; see
+  /// makePlacement() in dispatch/placement.h.
+  std::string Placement = "packed";
+  /// Whether the load reported by a worker is corrected for its age. Switched
+  /// off only for comparison: the last report then counts as the current load,
+  /// however old it is.
+  bool UseForecasts = true;
+};
+
+/// An agent and its worker, as this entry sees them.
+struct LeasedWorker {
+  /// Returns a lower bound of the agent's clock at \p Now, extrapolated from
+  /// the newest stamp received. A message that is delayed on its way carries
+  /// the time at which it was sent, so it extends a lease no further than a
+  /// message that was just answered.
+  std::uint64_t stampAt(TimePoint Now) const;
+  /// Whether this entry has heard from the agent and may send it tasks. An
+  /// agent that is registered at control isn't necessarily reachable from this
+  /// entry.
+  bool isReachable() const {
+    return this->Alive && !this->Unreachable && !this->Suspect &&
+           this->LastHeard != TimePoint();
+  }
+
+  PeerRef Agent;
+  std::uint64_t Incarnation = 0;
+  std::string Pool;
+  std::set<std::string> Labels;
+  peer::TaskNeeds Capacity;
+  /// Whether the agent itself has reported Capacity, which may change at run
+  /// time.
+  bool CapacityReported = false;
+  /// State last announced by control.
+  peer::MemberState State = peer::MEMBER_UNSPECIFIED;
+  bool Alive = false;
+  /// Control has lost the agent, but this entry still hears from it.
+  bool OnlyReachableHere = false;
+  /// A link to the agent has failed; nothing is sent until it is heard from
+  /// again.
+  bool Unreachable = false;
+  /// A probe has not been answered in time; no new tasks are sent until the
+  /// agent is heard from again.
+  bool Suspect = false;
+  /// Newest stamp of the agent's clock, and when it was received by this
+  /// entry's clock.
+  std::uint64_t Stamp = 0;
+  TimePoint StampReceived;
+  /// When this incarnation was last heard from; the epoch if it never was.
+  TimePoint LastHeard;
+  /// Processor time that other entries use on the worker, as last reported.
+  std::uint32_t OthersMilliCores = 0;
+  std::uint32_t OwnMilliCores = 0;
+  std::uint32_t OwnTasks = 0;
+
+  std::uint32_t FailuresInRow = 0;
+  bool Ejected = false;
+  /// Readmitted after an ejection; gets one task at a time until one succeeds.
+  bool OnTrial = false;
+  TimePoint EjectedUntil;
+  std::chrono::milliseconds Backoff{};
+};
+
+/// The tasks of a job that are placed on one worker.
+struct WorkerShare {
+  LeasedWorker *Worker = nullptr;
+  std::uint32_t Tasks = 0;
+  /// Whether all of them are expected to start immediately.
+  bool StartsNow = false;
+};
+
+class WorkerTable {
+public:
+  WorkerTable(const WorkerTableOptions &Options, std::uint64_t Seed)
+      : Options(Options), Random(Seed),
+        PlacementPolicy(makePlacement(Options.Placement)) {}
+
+  /// Applies an announcement of control. An agent that control has lost may be
+  /// cut off from control alone, so it stays in use while this entry hears from
+  /// it. \returns whether an older incarnation was replaced.
+  bool update(const peer::Member &Member, TimePoint Now);
+  /// Whether control has lost the agent and this entry no longer hears from it
+  /// either.
+  bool isLost(const LeasedWorker &Worker, TimePoint Now) const;
+  void setLost(const std::string &Agent);
+  /// Applies an agent's load report. Reports of an older incarnation are
+  /// ignored. Failures observed by other entries count like this entry's own.
+  /// \returns whether the report comes from an incarnation that was not known
+  /// yet.
+  bool onLoadReport(const std::string &Agent, const peer::WorkerLoad &Load,
+                    TimePoint Now);
+  void setUnreachable(const std::string &Agent);
+  void setSuspect(const std::string &Agent);
+
+  void onSent(const std::string &Agent, const peer::TaskNeeds &Needs);
+  void onSettled(const std::string &Agent, const peer::TaskNeeds &Needs);
+  /// \param RunTime Run time of the task.
+  void onSuccess(const std::string &Agent, std::chrono::milliseconds RunTime);
+  /// \returns whether this failure caused the worker to be ejected.
+  bool onFailure(const std::string &Agent, TimePoint Now);
+
+  /// Whether at least one agent is reachable.
+  bool hasReachable() const;
+
+  /// Returns the ratio of used to total processor time over all workers that
+  /// are eligible for the job; 0 if there are none. \param WaitingMilli Demand
+  /// of the tasks that wait at this entry, in thousandths of a core.
+  double pressure(const LeasedJobRequest &Job, std::uint64_t WaitingMilli,
+                  TimePoint Now) const;
+
+  LeasedWorker *find(const std::string &Agent);
+  const std::map<std::string, LeasedWorker> &workers() const {
+    return this->Workers;
+  }
+
+  /// Divides tasks of a job among the eligible workers. Places fewer than
+  /// requested if some can't be placed. A worker on trial gets a single task.
+  /// \param Avoid Agents that have refused or failed these tasks. \param Placed
+  /// Number of the job's tasks that each agent already has. \param
+  /// OnlyStartingNow Whether to place only tasks that are expected to start
+  /// immediately.
+  std::vector<WorkerShare>
+  divide(const LeasedJobRequest &Job, std::uint32_t Tasks,
+         const std::set<std::string> &Avoid,
+         const std::map<std::string, std::uint32_t> &Placed,
+         bool OnlyStartingNow, TimePoint Now);
+
+  /// Returns up to \p Count workers that are eligible for the job, selected at
+  /// random. Workers that are ejected or on trial are left out.
+  std::vector<const LeasedWorker *>
+  sampleWorkers(const LeasedJobRequest &Job, const std::set<std::string> &Avoid,
+                std::size_t Count, TimePoint Now);
+
+  /// Whether any worker is eligible for a task of the job.
+  bool hasEligibleWorker(const LeasedJobRequest &Job,
+                         const std::set<std::string> &Avoid,
+                         TimePoint Now) const;
+
+private:
+  /// Sets the load that other entries place on the worker, limited to what is
+  /// plausible for its capacity.
+  void setOthersMilliCores(LeasedWorker &Target, std::uint32_t Reported);
+  bool canTake(const LeasedWorker &Worker, const LeasedJobRequest &Job,
+               TimePoint Now) const;
+  /// \param PoolForecast Forecast of the worker's pool, from forecastFor().
+  PlacementTarget targetFor(const LeasedWorker &Worker,
+                            const LeasedJobRequest &Job,
+                            const LoadForecast *PoolForecast,
+                            TimePoint Now) const;
+  /// Returns null if there are no reports from the pool or forecasts are off.
+  const LoadForecast *forecastFor(const std::string &Pool) const;
+  /// Returns the expected load of other entries on the worker at \p Now.
+  static Forecast forecastOthers(const LeasedWorker &Worker,
+                                 const LoadForecast *PoolForecast,
+                                 TimePoint Now);
+  /// Like forecastOthers(), without the deviation; called for each worker with
+  /// each job.
+  static double forecastOthersShare(const LeasedWorker &Worker,
+                                    const LoadForecast *PoolForecast,
+                                    TimePoint Now);
+  bool mayEjectOneMore(const std::string &Pool) const;
+  /// Ejects the worker unless too many of its pool are ejected already.
+  /// \returns whether it was ejected.
+  bool eject(LeasedWorker &Target, TimePoint Now);
+  void applyReportedFailures(LeasedWorker &Target, std::uint32_t FailuresInRow,
+                             TimePoint Now);
+
+  WorkerTableOptions Options;
+  std::mt19937_64 Random;
+  std::unique_ptr<const Placement> PlacementPolicy;
+  std::map<std::string, LeasedWorker> Workers;
+  /// Keyed by pool.
+  std::map<std::string, LoadForecast> Forecasts;
+  Logger Log{"board"};
+};
+
+} // namespace yardwheel
+
+#endif
--- a/tests/dispatch/policy_test.cpp
+++ b/tests/dispatch/policy_test.cpp
@@ -9,7 +9,8 @@
 
 namespace {
 
-/// Three upstreams of 4 slots, and two entries of which this is the first.
+/// Returns a table of three upstreams with 4 slots each, as the first of two
+/// entries sees it.
 UpstreamTable makeTable() {
   UpstreamTable Table;
   for (int I = 0; I < 3; ++I) {
@@ -30,32 +31,33 @@
     peer::AgentLoad Load;
     Load.set_incarnation(1);
     Load.set_freshness(Table.at(I).Freshness + 1);
-    Load.set_running(Others + Table.at(I).Own);
-    Table.hear(I, Load, TimePoint());
+    Load.set_running(Others + Table.at(I).OwnTasks);
+    Table.onLoadReport(I, Load, TimePoint());
   }
 }
 
-/// How many tasks a policy sends before it waits, at most 100.
+/// Returns the number of tasks that a policy sends before it waits, at most
+/// 100.
 int sendsUntilItWaits(RoutePolicy &Policy, UpstreamTable &Table) {
   std::mt19937_64 Random(3);
-  constexpr int Most = 100;
-  for (int I = 0; I < Most; ++I) {
+  constexpr int MaxSends = 100;
+  for (int I = 0; I < MaxSends; ++I) {
     std::optional<UpstreamIndex> Chosen = Policy.choose(Table, Random);
     if (!Chosen)
       return I;
     Table.onSent(*Chosen);
   }
-  return Most;
+  return MaxSends;
 }
 
 } // namespace
 
 TEST_GROUP(PolicyTest){};
 
-TEST(PolicyTest, EachSendsAsManyAsItMay) {
+TEST(PolicyTest, EachPolicySendsAsManyTasksAsAllowed) {
   struct Row {
     const char *Policy;
-    /// Slots that others' tasks take at each upstream.
+    /// Slots that other entries' tasks use at each upstream.
     std::uint32_t Others;
     int Sends;
     bool QueuesAtAgent;
@@ -78,10 +80,10 @@
   }
 }
 
-TEST(PolicyTest, NoneSendsToAUpstreamThatMayGetNoWork) {
+TEST(PolicyTest, NoPolicySendsToAnIneligibleUpstream) {
   for (std::string_view Name : PolicyNames) {
     UpstreamTable Table = makeTable();
-    Table.setSilent(1, true);
+    Table.setUnreachable(1, true);
     std::unique_ptr<RoutePolicy> Policy = makePolicy(Name);
     std::mt19937_64 Random(5);
     for (int I = 0; I < 50; ++I) {
@@ -90,8 +92,8 @@
       if (Chosen)
         Table.onSent(*Chosen);
     }
-    Table.setSilent(0, true);
-    Table.setSilent(2, true);
+    Table.setUnreachable(0, true);
+    Table.setUnreachable(2, true);
     CHECK_FALSE(Policy->choose(Table, Random).has_value());
   }
 }
--- a/tests/entry/coordinator_agents_test.cpp
+++ b/tests/entry/coordinator_agents_test.cpp
@@ -284,7 +284,8 @@
     advance(100ms);
     LONGS_EQUAL_TEXT(1, Coordinator.workerTable().workers().at("a").OwnTasks,
                      Row.Name);
-    LONGS_EQUAL_TEXT(1000, Coordinator.workerTable().workers().at("a").OwnCpu,
+    LONGS_EQUAL_TEXT(1000,
+                     Coordinator.workerTable().workers().at("a").OwnMilliCores,
                      Row.Name);
     answer(Sink.Dispatches.size() - 1, peer::LEASED_DONE);
     LONGS_EQUAL_TEXT(0, Coordinator.workerTable().workers().at("a").OwnTasks,
@@ -381,7 +382,7 @@
   for (const Row &Row : Rows) {
     LeasedWorker Worker;
     Worker.Stamp = 1000;
-    Worker.StampHeard = Now.Steady;
+    Worker.StampReceived = Now.Steady;
     std::uint64_t Carried = Worker.stampAt(Now.Steady + Row.Passed);
     CHECK(Carried >= Row.Min);
     CHECK(Carried <= Row.Max);
--- a/tests/entry/crash_record_test.cpp
+++ b/tests/entry/crash_record_test.cpp
@@ -12,30 +12,30 @@
 
 constexpr TimePoint Start{1h};
 
-/// \param Tasks The last of them was started last.
+/// \param Tasks Indices of the tasks named; the last of them was started last.
 peer::WorkerCrash crash(std::uint64_t Incarnation,
                         const std::vector<std::uint32_t> &Tasks) {
-  peer::WorkerCrash Told;
-  Told.set_incarnation(Incarnation);
+  peer::WorkerCrash Crash;
+  Crash.set_incarnation(Incarnation);
   for (std::uint32_t Index : Tasks) {
-    peer::CrashedTask *Task = Told.add_tasks();
+    peer::CrashedTask *Task = Crash.add_tasks();
     Task->set_job(Index == 0 ? "job" : "beside");
     Task->set_index(Index);
     Task->set_started_last(Index == Tasks.back());
   }
-  return Told;
+  return Crash;
 }
 
 } // namespace
 
 TEST_GROUP(CrashRecordTest){};
 
-TEST(CrashRecordTest, ATaskIsGivenUpAfterTwoCrashesAndNeverBefore) {
+TEST(CrashRecordTest, ATaskIsAbandonedAfterTwoCrashesAndNotBefore) {
   struct Event {
     enum { Lost, Crashed } Kind;
     const char *Agent;
-    std::uint64_t Life;
-    /// Of a crash, what is named.
+    std::uint64_t Incarnation;
+    /// For a crash, the indices of the tasks that its report names.
     std::vector<std::uint32_t> Named;
   };
   struct Row {
@@ -43,98 +43,100 @@
     std::vector<Event> Events;
     CrashVerdict Expected;
   };
-  // Of task 0.
+  // Expected verdicts are those of task 0.
   const Row Rows[] = {
-      {"nothing known", {}, CrashVerdict::Clear},
-      {"one lost", {{Event::Lost, "a", 1, {}}}, CrashVerdict::Clear},
-      {"one crashed", {{Event::Crashed, "a", 1, {0}}}, CrashVerdict::Clear},
-      {"lost, then known to have crashed",
+      {"nothing known", {}, CrashVerdict::Allowed},
+      {"one lost", {{Event::Lost, "a", 1, {}}}, CrashVerdict::Allowed},
+      {"one crashed", {{Event::Crashed, "a", 1, {0}}}, CrashVerdict::Allowed},
+      {"lost, then reported as crashed",
        {{Event::Lost, "a", 1, {}}, {Event::Crashed, "a", 1, {0}}},
-       CrashVerdict::Clear},
-      {"the same crash told twice",
+       CrashVerdict::Allowed},
+      {"the same crash reported twice",
        {{Event::Crashed, "a", 1, {0}}, {Event::Crashed, "a", 1, {0}}},
-       CrashVerdict::Clear},
-      {"two lost, perhaps only cut off",
+       CrashVerdict::Allowed},
+      {"two lost, possibly just cut off",
        {{Event::Lost, "a", 1, {}}, {Event::Lost, "b", 1, {}}},
-       CrashVerdict::Held},
+       CrashVerdict::OnHold},
       {"one of the two has crashed",
        {{Event::Lost, "a", 1, {}},
         {Event::Lost, "b", 1, {}},
         {Event::Crashed, "a", 1, {0}}},
-       CrashVerdict::Held},
+       CrashVerdict::OnHold},
       {"both have crashed",
        {{Event::Lost, "a", 1, {}},
         {Event::Lost, "b", 1, {}},
         {Event::Crashed, "a", 1, {0}},
         {Event::Crashed, "b", 1, {0}}},
-       CrashVerdict::GivenUp},
-      {"two lives of one worker",
+       CrashVerdict::Abandoned},
+      {"two incarnations of one worker",
        {{Event::Crashed, "a", 1, {0}}, {Event::Crashed, "a", 2, {0}}},
-       CrashVerdict::GivenUp},
-      {"heard of from agents alone",
+       CrashVerdict::Abandoned},
+      {"crashes reported by agents, without a loss here",
        {{Event::Crashed, "a", 1, {1, 0}}, {Event::Crashed, "b", 4, {0}}},
-       CrashVerdict::GivenUp},
+       CrashVerdict::Abandoned},
       {"twice beside the cause",
        {{Event::Crashed, "a", 1, {0, 1}}, {Event::Crashed, "b", 1, {0, 1}}},
-       CrashVerdict::Clear},
+       CrashVerdict::Allowed},
       {"twice beside the cause, then lost",
        {{Event::Crashed, "a", 1, {0, 1}},
         {Event::Crashed, "b", 1, {0, 1}},
         {Event::Lost, "c", 1, {}}},
-       CrashVerdict::Held},
+       CrashVerdict::OnHold},
       {"once beside the cause, once started last",
        {{Event::Crashed, "a", 1, {0, 1}}, {Event::Crashed, "b", 1, {1, 0}}},
-       CrashVerdict::Clear},
+       CrashVerdict::Allowed},
       {"three crashes beside others",
        {{Event::Crashed, "a", 1, {0, 1}},
         {Event::Crashed, "b", 1, {0, 2}},
         {Event::Crashed, "c", 1, {0, 3}}},
-       CrashVerdict::GivenUp},
+       CrashVerdict::Abandoned},
       {"a crash under other tasks",
        {{Event::Lost, "a", 1, {}}, {Event::Crashed, "a", 1, {1}}},
-       CrashVerdict::Clear},
-      {"told of the crash before of the loss",
+       CrashVerdict::Allowed},
+      {"crash reported before the loss",
        {{Event::Crashed, "a", 1, {1}}, {Event::Lost, "a", 1, {}}},
-       CrashVerdict::Clear},
-      {"one under other tasks, one not known",
+       CrashVerdict::Allowed},
+      {"one crashed under other tasks, one unknown",
        {{Event::Lost, "a", 1, {}},
         {Event::Lost, "b", 1, {}},
         {Event::Crashed, "a", 1, {1}}},
-       CrashVerdict::Clear},
+       CrashVerdict::Allowed},
   };
   for (const Row &Row : Rows) {
     CrashRecord Record;
     for (const Event &What : Row.Events)
       if (What.Kind == Event::Lost)
-        Record.noteLost("job", 0, What.Agent, What.Life, Start);
+        Record.onWorkerLost("job", 0, What.Agent, What.Incarnation, Start);
       else
-        Record.noteCrash(What.Agent, crash(What.Life, What.Named), Start);
+        Record.onWorkerCrashed(What.Agent, crash(What.Incarnation, What.Named),
+                               Start);
     CHECK_TEXT(Row.Expected == Record.verdict("job", 0), Row.Name);
-    bool GivenUp = !Record.describeGivenUp("job").empty();
-    CHECK_EQUAL_TEXT(Row.Expected == CrashVerdict::GivenUp, GivenUp, Row.Name);
-    CHECK_TEXT(Record.verdict("other", 0) == CrashVerdict::Clear, Row.Name);
+    bool Abandoned = !Record.describeAbandoned("job").empty();
+    CHECK_EQUAL_TEXT(Row.Expected == CrashVerdict::Abandoned, Abandoned,
+                     Row.Name);
+    CHECK_TEXT(Record.verdict("other", 0) == CrashVerdict::Allowed, Row.Name);
   }
 }
 
-TEST(CrashRecordTest, WhoIsGivenUpIsSaid) {
+TEST(CrashRecordTest, DescribesTheAbandonedTaskAndItsAgents) {
   CrashRecord Record;
-  Record.noteCrash("a", crash(1, {3}), Start);
-  Record.noteCrash("b", crash(1, {2, 3}), Start);
+  Record.onWorkerCrashed("a", crash(1, {3}), Start);
+  Record.onWorkerCrashed("b", crash(1, {2, 3}), Start);
   STRCMP_EQUAL("task 3 has crashed the upstreams of a, b",
-               Record.describeGivenUp("beside").c_str());
-  STRCMP_EQUAL("", Record.describeGivenUp("job").c_str());
+               Record.describeAbandoned("beside").c_str());
+  STRCMP_EQUAL("", Record.describeAbandoned("job").c_str());
 }
 
-TEST(CrashRecordTest, WhatItRemembersIsBounded) {
+TEST(CrashRecordTest, RemembersALimitedNumberOfTasks) {
   CrashRecordOptions Options;
-  Options.MostTasks = 10;
+  Options.MaxTasks = 10;
   CrashRecord Record(Options);
   for (std::uint32_t I = 0; I < 100; ++I)
-    Record.noteLost(fmt::format("job-{}", I), 0, "a", 1,
-                    Start + std::chrono::milliseconds(I));
+    Record.onWorkerLost(fmt::format("job-{}", I), 0, "a", 1,
+                        Start + std::chrono::milliseconds(I));
   LONGS_EQUAL(10, Record.tasks());
-  Record.noteLost("job-99", 0, "b", 1, Start + 100ms);
-  CHECK(Record.verdict("job-99", 0) == CrashVerdict::Held);
-  Record.sweep(Start + Options.Memory + 200ms);
+  Record.onWorkerLost("job-99", 0, "b", 1, Start + 100ms);
+  CHECK(Record.verdict("job-99", 0) == CrashVerdict::OnHold);
+  Record.sweep(Start + Options.Retention + 200ms);
   LONGS_EQUAL(0, Record.tasks());
 }
--- a/tests/entry/crashing_task_test.cpp
+++ b/tests/entry/crashing_task_test.cpp
@@ -69,8 +69,8 @@
     Options.Entries = Entries;
     Options.RoomsMilli = {8 * Core};
     if (!CountsCrashes)
-      Options.Coordinator.Crashes = {.MostCrashes = SIZE_MAX,
-                                     .MostCrashesBeside = SIZE_MAX};
+      Options.Coordinator.Crashes = {.MaxCrashesStartedLast = SIZE_MAX,
+                                     .MaxCrashesAnyTask = SIZE_MAX};
     return Options;
   }
 
