--- a/entry/attach_desk.cpp
+++ b/entry/attach_registry.cpp
@@ -1,4 +1,4 @@
-#include "entry/attach_desk.h"
+#include "entry/attach_registry.h"
 
 namespace yardwheel {
 
--- a/entry/attach_desk.h
+++ b/entry/attach_registry.h
@@ -1,12 +1,12 @@
-//===- entry/attach_desk.h - Asks the owner for a job's answer --*- C++ -*-===//
+//===- entry/attach_registry.h - Asks the owner for a job's answer --*- C++ -*-===//
 ///
 /// \file
 /// The asking side of an answer that another entry owns: it asks until it is
 /// answered, and gives up when the owner stays silent or has restarted.
 ///
 //===----------------------------------------------------------------------===//
-#ifndef YARDWHEEL_ENTRY_ATTACH_DESK_H
-#define YARDWHEEL_ENTRY_ATTACH_DESK_H
+#ifndef YARDWHEEL_ENTRY_ATTACH_REGISTRY_H
+#define YARDWHEEL_ENTRY_ATTACH_REGISTRY_H
 
 #include "core/clock.h"
 #include "core/peer_sink.h"
--- a/entry/job_service.h
+++ b/entry/job_service.h
@@ -12,7 +12,7 @@
 #define YARDWHEEL_ENTRY_JOB_SERVICE_H
 
 #include "catalog/node_catalog.h"
-#include "entry/attach_desk.h"
+#include "entry/attach_registry.h"
 #include "entry/ended_jobs.h"
 #include "entry/job.h"
 #include "entry/job_runner.h"
