--- a/entry/attach_registry.cpp
+++ b/entry/attach_registry.cpp
@@ -5,14 +5,14 @@
 namespace {
 
 /// The links tell of questions that did not arrive, so this is a last resort.
-constexpr std::chrono::milliseconds AskEvery{2000};
+constexpr std::chrono::milliseconds ResendInterval{2000};
 constexpr std::uint32_t MaxUnanswered = 4;
 
 } // namespace
 
-Ticket AttachDesk::open(const std::string &Key, const peer::Owner &Owner,
-                        std::uint64_t Fingerprint, AttachMode Mode,
-                        TimePoint Now) {
+Ticket AttachRegistry::open(const std::string &Key, const peer::Owner &Owner,
+                            std::uint64_t Fingerprint, AttachMode Mode,
+                            TimePoint Now) {
   Ticket Number = ++this->Last;
   Request &Target = this->Requests[Number];
   Target.Owner = Owner;
@@ -28,25 +28,25 @@
   return Number;
 }
 
-void AttachDesk::send(Request &Target, TimePoint Now) {
+void AttachRegistry::send(Request &Target, TimePoint Now) {
   ++Target.Unanswered;
-  Target.NextSend = Now + AskEvery;
+  Target.NextSend = Now + ResendInterval;
   this->Sink.send({Target.Owner.entry(), Target.Owner.address()},
                   Target.Message);
 }
 
-bool AttachDesk::onReply(const peer::AttachReply &Reply, TimePoint Now) {
+bool AttachRegistry::onReply(const peer::AttachReply &Reply, TimePoint Now) {
   auto Found = this->Requests.find(Reply.ticket());
   // A reply to an earlier life may carry a number in use again.
   if (Found == this->Requests.end() ||
       Reply.asker_incarnation() != this->Incarnation)
     return false;
   Found->second.Unanswered = 0;
-  Found->second.NextSend = Now + AskEvery;
+  Found->second.NextSend = Now + ResendInterval;
   return true;
 }
 
-void AttachDesk::onSendFailed(const std::string &Entry, TimePoint Now) {
+void AttachRegistry::onSendFailed(const std::string &Entry, TimePoint Now) {
   for (auto &[Number, Target] : this->Requests)
     if (Target.Owner.entry() == Entry && Target.Unanswered < MaxUnanswered)
       this->send(Target, Now);
@@ -54,7 +54,7 @@
       Target.NextSend = Now;
 }
 
-std::vector<Ticket> AttachDesk::tick(TimePoint Now) {
+std::vector<Ticket> AttachRegistry::tick(TimePoint Now) {
   std::vector<Ticket> Silent;
   for (auto &[Number, Target] : this->Requests) {
     if (Now < Target.NextSend)
--- a/entry/attach_registry.h
+++ b/entry/attach_registry.h
@@ -1,4 +1,5 @@
-//===- entry/attach_registry.h - Asks the owner for a job's answer --*- C++ -*-===//
+//===- entry/attach_registry.h - Requests to owning entries ------*- C++
+//-*-===//
 ///
 /// \file
 /// The asking side of an answer that another entry owns: it asks until it is
@@ -20,9 +21,9 @@
 
 enum class AttachMode { Wait, Peek, Cancel };
 
-class AttachDesk {
+class AttachRegistry {
 public:
-  AttachDesk(std::uint64_t Incarnation, PeerSink &Sink)
+  AttachRegistry(std::uint64_t Incarnation, PeerSink &Sink)
       : Incarnation(Incarnation), Sink(Sink) {}
 
   /// Asks \p Owner for a job. \returns the number of the request.
--- a/entry/job.cpp
+++ b/entry/job.cpp
@@ -37,7 +37,7 @@
   return Failure;
 }
 
-FailureSpec answerGone() {
+FailureSpec answerExpired() {
   FailureSpec Failure;
   Failure.Kind = peer::FAILURE_EXPIRED;
   Failure.Ran = peer::RAN_SOMETHING;
--- a/entry/job.h
+++ b/entry/job.h
@@ -35,7 +35,7 @@
   std::string Workspace;
   WallTime FirstSubmitted;
   /// The id was made here, so nobody else can have submitted it.
-  bool IdMadeHere = false;
+  bool HasGeneratedId = false;
   bool Repeatable = false;
   std::uint64_t Fingerprint = 0;
   /// Time the caller gives the job from now on.
@@ -47,8 +47,8 @@
 
   /// What may be said of a request that has got no further than its claim: an
   /// id that came from outside may have been submitted elsewhere.
-  peer::Ran freshRan() const {
-    return this->IdMadeHere ? peer::RAN_NOT_RUN : peer::RAN_UNKNOWN;
+  peer::Ran ranBeforeClaim() const {
+    return this->HasGeneratedId ? peer::RAN_NOT_RUN : peer::RAN_UNKNOWN;
   }
 };
 
@@ -62,7 +62,7 @@
   std::uint32_t Attempt = 0;
   std::uint32_t UnansweredProbes = 0;
   /// Its agent was asked to give it back.
-  bool AskedBack = false;
+  bool WithdrawRequested = false;
 };
 
 enum class JobPhase : std::uint8_t { Claiming, Attached, Running, Finished };
@@ -70,8 +70,8 @@
 /// An entry that waits for the outcome on behalf of its own caller.
 struct RemoteWaiter {
   PeerRef Entry;
-  Ticket TheirTicket = 0;
-  std::uint64_t TheirIncarnation = 0;
+  Ticket RemoteTicket = 0;
+  std::uint64_t RemoteIncarnation = 0;
 };
 
 struct Job {
@@ -87,7 +87,7 @@
   std::vector<std::string> Results;
   std::uint32_t DoneCount = 0;
   /// Tasks sent whose end or non-start is not yet known.
-  std::uint32_t OutCount = 0;
+  std::uint32_t OutstandingCount = 0;
   bool AnythingRan = false;
 
   TimePoint Submitted;
@@ -126,7 +126,7 @@
 /// The id was submitted before with other content.
 FailureSpec idConflict();
 /// The job has ended and its answer is no longer kept.
-FailureSpec answerGone();
+FailureSpec answerExpired();
 
 } // namespace yardwheel
 
--- a/entry/job_metrics.cpp
+++ b/entry/job_metrics.cpp
@@ -7,13 +7,13 @@
 
 namespace {
 
-constexpr std::size_t SmallJob = 32;
+constexpr std::size_t MaxSmallJobTasks = 32;
 constexpr int ResponseBins = 50;
-constexpr double ResponseLowMs = 1;
-constexpr double ResponseHighMs = 100000;
+constexpr double MinResponseMs = 1;
+constexpr double MaxResponseMs = 100000;
 constexpr int SlowdownBins = 120;
-constexpr double SlowdownLow = 1;
-constexpr double SlowdownHigh = 1000;
+constexpr double MinSlowdown = 1;
+constexpr double MaxSlowdown = 1000;
 constexpr double MicrosPerMilli = 1000;
 
 } // namespace
@@ -21,7 +21,7 @@
 const char *jobClass(std::size_t Tasks) {
   if (Tasks <= 1)
     return "single";
-  return Tasks <= SmallJob ? "small" : "large";
+  return Tasks <= MaxSmallJobTasks ? "small" : "large";
 }
 
 const char *failureName(peer::FailureKind Kind) {
@@ -54,8 +54,8 @@
 }
 
 JobMetrics::Series JobMetrics::makeSeries() {
-  return {LogHistogram(ResponseBins, ResponseLowMs, ResponseHighMs),
-          LogHistogram(SlowdownBins, SlowdownLow, SlowdownHigh),
+  return {LogHistogram(ResponseBins, MinResponseMs, MaxResponseMs),
+          LogHistogram(SlowdownBins, MinSlowdown, MaxSlowdown),
           0,
           0,
           0,
--- a/entry/job_runner.cpp
+++ b/entry/job_runner.cpp
@@ -9,33 +9,33 @@
 
 namespace {
 
-constexpr std::chrono::milliseconds ShortestRetryAfter{50};
+constexpr std::chrono::milliseconds MinRetryDelay{50};
 /// A job lets those pass that come within this many times the least time that
 /// its own work takes when spread over the pool. Found by measurement: less
 /// makes small jobs wait behind large ones, more changes little and would let
 /// a large job wait longer under overload.
-constexpr std::int64_t Patience = 64;
+constexpr std::int64_t RankDelayFactor = 64;
 
 /// Jobs go by their arrival, put off by their size.
 JobRank rankOf(const Job &Target, const Pool &Place, TimePoint Now) {
   auto Tasks = static_cast<std::int64_t>(Target.Request.Tasks.size());
   std::int64_t Slots = std::max(Place.Upstreams.aliveSlots(), 1U);
   std::int64_t Spread = Place.typicalService().count() * Tasks / Slots;
-  return Now.time_since_epoch().count() + Patience * Spread;
+  return Now.time_since_epoch().count() + RankDelayFactor * Spread;
 }
 
-bool needsAnything(const peer::Resources &Needs) {
+bool hasResourceNeeds(const peer::Resources &Needs) {
   return Needs.cpus() != 0 || Needs.memory_mb() != 0 ||
          Needs.accelerators() != 0;
 }
 
 /// How long until what waits now will have been taken in.
-std::chrono::milliseconds expectedWait(const Pool &Target) {
+std::chrono::milliseconds estimateWait(const Pool &Target) {
   std::uint32_t Slots = std::max(Target.Upstreams.aliveSlots(), 1U);
   auto Wait = Target.typicalService() *
               static_cast<std::int64_t>(Target.Queue.waiting()) / Slots;
   return std::max(std::chrono::ceil<std::chrono::milliseconds>(Wait),
-                  ShortestRetryAfter);
+                  MinRetryDelay);
 }
 
 } // namespace
@@ -76,7 +76,7 @@
     Refusal.Kind = peer::FAILURE_LIMIT;
     Refusal.Reason = fmt::format("{} tasks wait already, queue_limit is {}",
                                  Waiting, Target.Limits.queue_limit());
-    Refusal.RetryAfter = expectedWait(Place);
+    Refusal.RetryAfter = estimateWait(Place);
   }
   return Refusal;
 }
@@ -118,7 +118,7 @@
   if (New)
     Target.Upstreams.setShares(this->Position, this->Entries);
   if (Replaced)
-    this->loseTasks(Target, Index, "the agent was lost", Now);
+    this->handleLostTasks(Target, Index, "the agent was lost", Now);
   this->schedule(Target, Now);
 }
 
@@ -158,7 +158,7 @@
   }
   this->flush(Target, Batch);
   if (Target.Queue.waiting() == 0 && Target.movesWaiting())
-    this->moveWaiting(Target);
+    this->rebalance(Target);
 }
 
 bool JobRunner::sendNext(Pool &Target, TimePoint Now,
@@ -178,7 +178,7 @@
   Target.Queue.pop();
   this->addToBatch(Target, *Owner, Next->Index, *Upstream, Batch);
   std::uint32_t Attempt = Owner->States[Next->Index].Attempt;
-  this->Probes.emplace(Now + this->Options.ProbeAfter,
+  this->Probes.emplace(Now + this->Options.ProbeTimeout,
                        DueProbe{{Owner->Number, Next->Index}, Attempt});
   return true;
 }
@@ -189,7 +189,7 @@
   std::optional<UpstreamIndex> Chosen =
       Policy.choose(Target.Upstreams, this->Random);
   const peer::Resources &Needs = Owner.Request.Tasks[Index].Needs;
-  if (!Chosen || !needsAnything(Needs) ||
+  if (!Chosen || !hasResourceNeeds(Needs) ||
       fits(Target.Upstreams.at(*Chosen).Resources, Needs))
     return Chosen;
   // The policy's choice is too small: take the least loaded that is not.
@@ -218,9 +218,9 @@
   Task.Incarnation = Chosen.Incarnation;
   Task.Freshness = Chosen.Freshness;
   Task.UnansweredProbes = 0;
-  Task.AskedBack = false;
+  Task.WithdrawRequested = false;
   ++Task.Attempt;
-  ++Owner.OutCount;
+  ++Owner.OutstandingCount;
   Target.Upstreams.onSent(Upstream);
   Target.addTask(Upstream, {Owner.Number, Index});
 
@@ -249,7 +249,7 @@
   }
 }
 
-void JobRunner::moveWaiting(Pool &Target) {
+void JobRunner::rebalance(Pool &Target) {
   std::optional<UpstreamIndex> Free =
       Target.Upstreams.byTotalFree().pickBest(this->Random);
   if (!Free || Target.Upstreams.eligible().empty())
@@ -267,10 +267,10 @@
       Longest = Index;
   }
   if (Longest)
-    this->takeBackLast(Target, *Longest);
+    this->withdrawLast(Target, *Longest);
 }
 
-void JobRunner::takeBackLast(Pool &Target, UpstreamIndex Upstream) {
+void JobRunner::withdrawLast(Pool &Target, UpstreamIndex Upstream) {
   const std::vector<TaskRef> &Tasks = Target.tasksAt(Upstream);
   if (Tasks.empty())
     return;
@@ -282,9 +282,9 @@
     return;
   // A task that was asked about already is not asked again.
   TaskState &Task = Owner->States[Last.Index];
-  if (Task.Phase != TaskPhase::Sent || Task.AskedBack)
+  if (Task.Phase != TaskPhase::Sent || Task.WithdrawRequested)
     return;
-  Task.AskedBack = true;
+  Task.WithdrawRequested = true;
   this->sendWithdraw(*Owner, Upstream, {Last.Index}, /*Probe=*/false);
 }
 
@@ -316,13 +316,13 @@
     bool Out =
         Task.Phase == TaskPhase::Sent || Task.Phase == TaskPhase::Started;
     // Words of an older send, of another life or of another agent are late.
-    bool SameSend =
+    bool SameAttempt =
         Out && Task.Upstream == *Upstream && Task.Attempt == Update.attempt();
     std::uint64_t Life = Update.load().incarnation();
     // A later life can only say that it knows nothing of the task.
-    bool LifeOver =
+    bool IsLaterIncarnation =
         Life > Task.Incarnation && Update.event() == peer::TASK_CANNOT_KNOW;
-    if (SameSend && (Life == Task.Incarnation || LifeOver))
+    if (SameAttempt && (Life == Task.Incarnation || IsLaterIncarnation))
       this->apply(*Owner, Update, Now);
   }
   Place->Upstreams.hear(*Upstream, Update.load(), Now);
@@ -360,7 +360,7 @@
   Place.Upstreams.onSettled(Task.Upstream);
   Place.removeTask(Task.Upstream, {Owner.Number, Index});
   Place.Queue.onSettled(Owner.Request.Workspace);
-  --Owner.OutCount;
+  --Owner.OutstandingCount;
 }
 
 void JobRunner::onNotStarted(Job &Owner, std::uint32_t Index,
@@ -393,7 +393,7 @@
     Failure.Reason =
         fmt::format("retry budget spent; last refusal: {}", Reason);
     Failure.Task = static_cast<int>(Index);
-    Failure.RetryAfter = expectedWait(Place);
+    Failure.RetryAfter = estimateWait(Place);
     this->fail(Owner, Failure, Now);
     return;
   }
@@ -411,7 +411,7 @@
   if (Update.event() == peer::TASK_SUCCEEDED) {
     std::chrono::microseconds Service(Update.service_us());
     Place.Upstreams.onSuccess(Task.Upstream);
-    Place.learnService(Service);
+    Place.addServiceSample(Service);
     Owner.LongestService = std::max(Owner.LongestService, Service);
     Owner.TotalService += Service;
     if (Owner.Phase == JobPhase::Finished)
--- a/entry/job_runner.h
+++ b/entry/job_runner.h
@@ -27,14 +27,14 @@
 struct RunnerOptions {
   /// An agent that has said nothing of a task for this long is asked. The
   /// links tell of messages that did not arrive, so this is a last resort.
-  std::chrono::milliseconds ProbeAfter{10000};
+  std::chrono::milliseconds ProbeTimeout{10000};
   /// Between two questions that stay without an answer.
-  std::chrono::milliseconds ProbeEvery{500};
+  std::chrono::milliseconds ProbeInterval{500};
   /// An agent that leaves this many probes unanswered gets nothing more.
   std::uint32_t MaxUnanswered = 3;
   /// An upstream that was silent for this long is asked for its load, so that
   /// dispatches do not rest on news that its agent would refuse as old.
-  std::chrono::milliseconds RefreshAfter{20000};
+  std::chrono::milliseconds LoadRefreshTimeout{20000};
   EjectionRules Ejection;
   std::uint64_t Seed = 1;
   /// Off only in tests that show what the rule is for.
@@ -98,8 +98,8 @@
                   UpstreamIndex Upstream,
                   std::map<DispatchKey, peer::Dispatch> &Batch);
   void flush(Pool &Target, std::map<DispatchKey, peer::Dispatch> &Batch);
-  void moveWaiting(Pool &Target);
-  void takeBackLast(Pool &Target, UpstreamIndex Upstream);
+  void rebalance(Pool &Target);
+  void withdrawLast(Pool &Target, UpstreamIndex Upstream);
 
   void apply(Job &Owner, const peer::TaskUpdate &Update, TimePoint Now);
   void onNotStarted(Job &Owner, std::uint32_t Index,
@@ -109,12 +109,12 @@
   void settle(Job &Owner, std::uint32_t Index);
   void resend(Job &Owner, std::uint32_t Index, const std::string &Reason,
               TimePoint Now);
-  void loseTasks(Pool &Target, UpstreamIndex Upstream,
-                 const std::string &Reason, TimePoint Now);
-  void askWhenDeaf(Pool &Target, TimePoint Now);
-  void askForLoad(const Upstream &Asked);
-  void refreshIdle(Pool &Target, TimePoint Now);
-  void probeDue(TimePoint Now);
+  void handleLostTasks(Pool &Target, UpstreamIndex Upstream,
+                       const std::string &Reason, TimePoint Now);
+  void pollForFreeSlots(Pool &Target, TimePoint Now);
+  void requestLoad(const Upstream &Asked);
+  void refreshSilentAgents(Pool &Target, TimePoint Now);
+  void sendDueProbes(TimePoint Now);
   void probe(Job &Owner, std::uint32_t Index, TimePoint Now);
   void sendWithdraw(Job &Owner, UpstreamIndex Upstream,
                     const std::vector<std::uint32_t> &Tasks, bool Probe);
@@ -127,7 +127,7 @@
     TaskRef Task;
     std::uint32_t Attempt = 0;
     /// Follows on a question, so that an answer makes it needless.
-    bool FollowsUp = false;
+    bool IsRepeat = false;
   };
 
   RunnerOptions Options;
@@ -140,7 +140,7 @@
   std::unordered_map<std::string, JobNumber> NumberOfKey;
   std::multimap<TimePoint, DueProbe> Probes;
   TimePoint NextRefresh = TimePoint::min();
-  TimePoint NextDeafQuestion = TimePoint::min();
+  TimePoint NextFreeSlotPoll = TimePoint::min();
   std::uint32_t Position = 0;
   std::uint32_t Entries = 1;
 };
--- a/entry/job_runner_watch.cpp
+++ b/entry/job_runner_watch.cpp
@@ -7,12 +7,12 @@
 namespace {
 
 /// Between two questions of an entry that waits and hears from nobody.
-constexpr std::chrono::milliseconds AskWhenDeaf{50};
+constexpr std::chrono::milliseconds FreeSlotPollInterval{50};
 
 } // namespace
 
-void JobRunner::loseTasks(Pool &Target, UpstreamIndex Upstream,
-                          const std::string &Reason, TimePoint Now) {
+void JobRunner::handleLostTasks(Pool &Target, UpstreamIndex Upstream,
+                                const std::string &Reason, TimePoint Now) {
   std::vector<TaskRef> Lost = Target.tasksAt(Upstream);
   for (const TaskRef &Ref : Lost) {
     Job *Owner = this->find(Ref.Job);
@@ -47,46 +47,46 @@
     this->NumberOfKey.erase(Named);
 }
 
-void JobRunner::refreshIdle(Pool &Target, TimePoint Now) {
+void JobRunner::refreshSilentAgents(Pool &Target, TimePoint Now) {
   for (UpstreamIndex Index : Target.Upstreams.eligible()) {
     const Upstream &Idle = Target.Upstreams.at(Index);
-    if (Now - Idle.LastHeard >= this->Options.RefreshAfter)
-      this->askForLoad(Idle);
+    if (Now - Idle.LastHeard >= this->Options.LoadRefreshTimeout)
+      this->requestLoad(Idle);
   }
 }
 
-void JobRunner::askWhenDeaf(Pool &Target, TimePoint Now) {
+void JobRunner::pollForFreeSlots(Pool &Target, TimePoint Now) {
   // With no task out, no result will tell of slots that fall free.
   const std::vector<UpstreamIndex> &Eligible = Target.Upstreams.eligible();
   if (Target.Queue.waiting() == 0 || Target.Queue.out() > 0 ||
-      Eligible.empty() || Now < this->NextDeafQuestion)
+      Eligible.empty() || Now < this->NextFreeSlotPoll)
     return;
-  this->NextDeafQuestion = Now + AskWhenDeaf;
+  this->NextFreeSlotPoll = Now + FreeSlotPollInterval;
   UpstreamIndex Any = Eligible[this->Random() % Eligible.size()];
-  this->askForLoad(Target.Upstreams.at(Any));
+  this->requestLoad(Target.Upstreams.at(Any));
 }
 
-void JobRunner::askForLoad(const Upstream &Asked) {
+void JobRunner::requestLoad(const Upstream &Asked) {
   peer::Message Message;
   Message.mutable_withdraw()->set_probe(true);
   this->Sink.send(Asked.Agent, std::move(Message));
 }
 
 void JobRunner::tick(TimePoint Now) {
-  this->probeDue(Now);
+  this->sendDueProbes(Now);
   if (Now >= this->NextRefresh) {
-    this->NextRefresh = Now + this->Options.RefreshAfter / 4;
+    this->NextRefresh = Now + this->Options.LoadRefreshTimeout / 4;
     for (auto &[Name, Target] : this->Pools)
-      this->refreshIdle(Target, Now);
+      this->refreshSilentAgents(Target, Now);
   }
   for (auto &[Name, Target] : this->Pools) {
     Target.Upstreams.tick(Now);
     this->schedule(Target, Now);
-    this->askWhenDeaf(Target, Now);
+    this->pollForFreeSlots(Target, Now);
   }
 }
 
-void JobRunner::probeDue(TimePoint Now) {
+void JobRunner::sendDueProbes(TimePoint Now) {
   while (!this->Probes.empty() && this->Probes.begin()->first <= Now) {
     DueProbe Due = this->Probes.begin()->second;
     this->Probes.erase(this->Probes.begin());
@@ -98,8 +98,8 @@
         Task.Phase == TaskPhase::Sent || Task.Phase == TaskPhase::Started;
     if (!Out || Task.Attempt != Due.Attempt)
       continue;
-    if (Due.FollowsUp && Task.UnansweredProbes == 0)
-      this->Probes.emplace(Now + this->Options.ProbeAfter,
+    if (Due.IsRepeat && Task.UnansweredProbes == 0)
+      this->Probes.emplace(Now + this->Options.ProbeTimeout,
                            DueProbe{Due.Task, Due.Attempt});
     else
       this->probe(*Owner, Due.Task.Index, Now);
@@ -113,8 +113,8 @@
     Upstream = Place->Upstreams.find(Agent);
   if (!Upstream)
     return;
-  std::vector<TaskRef> Doubtful = Place->tasksAt(*Upstream);
-  for (const TaskRef &Ref : Doubtful) {
+  std::vector<TaskRef> Unconfirmed = Place->tasksAt(*Upstream);
+  for (const TaskRef &Ref : Unconfirmed) {
     Job *Owner = this->find(Ref.Job);
     // One that is being asked about has its next question set already.
     if (Owner != nullptr && Owner->States[Ref.Index].UnansweredProbes == 0)
@@ -127,14 +127,15 @@
   Pool &Place = this->Pools[Owner.PoolName];
   if (Task.UnansweredProbes >= this->Options.MaxUnanswered) {
     Place.Upstreams.setSilent(Task.Upstream, true);
-    this->loseTasks(Place, Task.Upstream, "the agent does not answer", Now);
+    this->handleLostTasks(Place, Task.Upstream, "the agent does not answer",
+                          Now);
     return;
   }
   ++Task.UnansweredProbes;
   bool Finished = Owner.Phase == JobPhase::Finished;
   this->sendWithdraw(Owner, Task.Upstream, {Index}, /*Probe=*/!Finished);
-  DueProbe Next{{Owner.Number, Index}, Task.Attempt, /*FollowsUp=*/true};
-  this->Probes.emplace(Now + this->Options.ProbeEvery, Next);
+  DueProbe Next{{Owner.Number, Index}, Task.Attempt, /*IsRepeat=*/true};
+  this->Probes.emplace(Now + this->Options.ProbeInterval, Next);
 }
 
 void JobRunner::sendWithdraw(Job &Owner, UpstreamIndex Upstream,
--- a/entry/job_service.cpp
+++ b/entry/job_service.cpp
@@ -8,9 +8,9 @@
 
 namespace {
 
-constexpr std::chrono::milliseconds EpochRetry{50};
+constexpr std::chrono::milliseconds EpochRetryDelay{50};
 constexpr std::chrono::milliseconds SoonAgain{1000};
-constexpr std::chrono::milliseconds LikelyResubmitted{500};
+constexpr std::chrono::milliseconds ResubmissionAge{500};
 
 FailureSpec unavailable(const std::string &Step, const std::string &Reason,
                         peer::Ran Ran) {
@@ -44,7 +44,7 @@
                        OutcomeSink &Outcomes, JobObserver &Observer)
     : Options(std::move(Options)), Sink(Sink), Outcomes(Outcomes),
       Observer(Observer), Runner(this->Options.Runner, Sink, *this),
-      Desk(this->Options.Self.incarnation(), Sink),
+      Registry(this->Options.Self.incarnation(), Sink),
       View(std::make_shared<const CatalogView>()) {
   this->LiveEntries.insert(this->Options.Self.entry());
 }
@@ -96,7 +96,7 @@
   }
   std::optional<FailureSpec> Refusal = this->checkEnded(Request);
   if (!Refusal)
-    Refusal = this->checkForm(Request, Now);
+    Refusal = this->checkRequest(Request, Now);
   if (!Refusal)
     Refusal = this->checkReadiness(Request, Now);
   if (Refusal) {
@@ -106,10 +106,10 @@
   }
   Job &Target = this->addJob(std::move(Request), Waiter, Now);
   // Nobody else can hold an id made here, so a refusal needs no claim.
-  if (Target.Request.IdMadeHere) {
+  if (Target.Request.HasGeneratedId) {
     FailureSpec Admission = this->Runner.admit(Target);
     if (Admission.Kind != peer::FAILURE_UNSPECIFIED) {
-      this->dismiss(Target, Admission, Now.Steady);
+      this->finishReleased(Target, Admission, Now.Steady);
       return;
     }
   }
@@ -142,11 +142,11 @@
   std::optional<std::uint64_t> Ended = this->Ended.find(Request.key());
   if (!Ended)
     return std::nullopt;
-  return *Ended == Request.Fingerprint ? answerGone() : idConflict();
+  return *Ended == Request.Fingerprint ? answerExpired() : idConflict();
 }
 
-std::optional<FailureSpec> JobService::checkForm(const JobRequest &Request,
-                                                 Instant Now) const {
+std::optional<FailureSpec> JobService::checkRequest(const JobRequest &Request,
+                                                    Instant Now) const {
   FailureSpec Failure;
   Failure.Step = "validate";
   if (this->View->findWorkspace(Request.Workspace) == nullptr) {
@@ -176,15 +176,16 @@
 
 std::optional<FailureSpec> JobService::checkReadiness(const JobRequest &Request,
                                                       Instant Now) const {
-  peer::Ran Ran = Request.freshRan();
+  peer::Ran Ran = Request.ranBeforeClaim();
   if (this->Draining)
     return unavailable("admit", "the entry is stopping; use another", Ran);
   if (!this->isConfirmed(Now.Steady))
     return unavailable("admit", "control has not confirmed the configuration",
                        Ran);
-  if (this->Active >= this->Options.MaxJobs)
+  if (this->ActiveJobs >= this->Options.MaxJobs)
     return unavailable(
-        "admit", fmt::format("{} jobs are in flight here", this->Active), Ran);
+        "admit", fmt::format("{} jobs are in flight here", this->ActiveJobs),
+        Ran);
   return std::nullopt;
 }
 
@@ -202,7 +203,7 @@
   New->Waiters.push_back(Waiter);
   New->Request = std::move(Request);
   this->Deadlines.emplace(New->Deadline, Key);
-  ++this->Active;
+  ++this->ActiveJobs;
   std::unique_ptr<Job> &Slot = this->Jobs[Key];
   // A job that was given back leaves its place to the new submission.
   if (Slot)
@@ -252,7 +253,7 @@
       Claim.GiveUp - Now.Steady);
   // An id that is older than a submission takes has been here before.
   WallTime Stamp = fromUnixMillis(StampMs);
-  bool LikelyHeld = Claim.Asked || Now.Wall - Stamp > LikelyResubmitted;
+  bool LikelyHeld = Claim.Asked || Now.Wall - Stamp > ResubmissionAge;
   Claim.Claim.emplace(std::move(Request), std::move(Holders), Times, Now.Steady,
                       LikelyHeld);
   return true;
@@ -278,12 +279,12 @@
   PendingClaim Claim = std::move(Found->second);
   this->Claims.erase(Found);
   // The holders have moved on: ask again, by then with their epoch.
-  bool MayRetry = Now.Steady + EpochRetry < Claim.GiveUp;
+  bool MayRetry = Now.Steady + EpochRetryDelay < Claim.GiveUp;
   if (Decision.Result == ClaimResult::WrongEpoch && MayRetry) {
     std::int64_t Stamp = Claim.Claim->request().stamp_ms();
     std::uint64_t Fingerprint = Claim.Claim->request().fingerprint();
     Claim.Claim->release(this->Sink);
-    Claim.RetryAt = Now.Steady + EpochRetry;
+    Claim.RetryAt = Now.Steady + EpochRetryDelay;
     this->openClaim(std::move(Claim), Stamp, Fingerprint, Now);
     return;
   }
@@ -313,7 +314,7 @@
     return;
   }
   FailureSpec Failure = unavailable("claim", "too few ledger holders answered",
-                                    Target.Request.freshRan());
+                                    Target.Request.ranBeforeClaim());
   if (Decision.Result == ClaimResult::Unknown) {
     Failure.Reason = "the ledger's holders have restarted since the id's "
                      "first submission and cannot know whether it ran";
@@ -326,7 +327,7 @@
   } else if (Decision.Result == ClaimResult::WrongEpoch) {
     Failure.Reason = "the ledger's holders are being replaced";
   }
-  this->dismiss(Target, Failure, Now.Steady);
+  this->finishReleased(Target, Failure, Now.Steady);
 }
 
 void JobService::onWon(Job &Target, PendingClaim &Claim, Instant Now) {
@@ -334,7 +335,7 @@
   if (Admission.Kind != peer::FAILURE_UNSPECIFIED) {
     // This entry is the only owner, so that "not run" is true.
     Claim.Claim->release(this->Sink);
-    this->dismiss(Target, Admission, Now.Steady);
+    this->finishReleased(Target, Admission, Now.Steady);
     return;
   }
   Target.Phase = JobPhase::Running;
@@ -344,13 +345,13 @@
 void JobService::onHeld(Job &Target, PendingClaim &,
                         const ClaimDecision &Decision, Instant Now) {
   if (Decision.Fingerprint != Target.Request.Fingerprint) {
-    this->dismiss(Target, idConflict(), Now.Steady);
+    this->finishReleased(Target, idConflict(), Now.Steady);
     return;
   }
   Target.Phase = JobPhase::Attached;
   Ticket Request =
-      this->Desk.open(Target.Request.key(), Decision.Owner,
-                      Decision.Fingerprint, AttachMode::Wait, Now.Steady);
+      this->Registry.open(Target.Request.key(), Decision.Owner,
+                          Decision.Fingerprint, AttachMode::Wait, Now.Steady);
   this->Attaches[Request] = {Target.Request.key(), std::nullopt};
 }
 
--- a/entry/job_service.h
+++ b/entry/job_service.h
@@ -82,12 +82,12 @@
   /// A message to a peer may not have arrived.
   void onSendFailed(const std::string &Peer, Instant Now) {
     this->Runner.onSendFailed(Peer, Now.Steady);
-    this->Desk.onSendFailed(Peer, Now.Steady);
+    this->Registry.onSendFailed(Peer, Now.Steady);
   }
   void tick(Instant Now);
 
   /// Jobs whose callers wait, and tasks not yet accounted for.
-  std::size_t inFlight() const { return this->Active; }
+  std::size_t inFlight() const { return this->ActiveJobs; }
   const JobRunner &runner() const { return this->Runner; }
 
   void onComplete(Job &Target, TimePoint Now) override;
@@ -114,8 +114,8 @@
   };
 
   std::optional<FailureSpec> checkEnded(const JobRequest &Request) const;
-  std::optional<FailureSpec> checkForm(const JobRequest &Request,
-                                       Instant Now) const;
+  std::optional<FailureSpec> checkRequest(const JobRequest &Request,
+                                          Instant Now) const;
   std::optional<FailureSpec> checkReadiness(const JobRequest &Request,
                                             Instant Now) const;
   void joinExisting(Job &Known, const JobRequest &Request, Ticket Waiter);
@@ -138,7 +138,7 @@
 
   void onAttachRequest(const PeerRef &From, const peer::AttachRequest &Request,
                        Instant Now);
-  void disown(const std::string &Key);
+  void releaseStaleGrant(const std::string &Key);
   void onAttachReply(const peer::AttachReply &Reply, Instant Now);
   void closeAttach(Ticket Request, const peer::JobOutcome *Outcome,
                    TimePoint Now);
@@ -148,7 +148,7 @@
   void cancel(Job &Target, Instant Now);
   void finish(Job &Target, peer::JobOutcome Outcome, TimePoint Now);
   /// Finishes a job that starts nothing and whose record is of no more use.
-  void dismiss(Job &Target, const FailureSpec &Failure, TimePoint Now);
+  void finishReleased(Job &Target, const FailureSpec &Failure, TimePoint Now);
   void keepAnswer(Job &Target, TimePoint Now);
   void dropOldestAnswers(TimePoint Now);
   void tickDeadlines(TimePoint Now);
@@ -162,7 +162,7 @@
   OutcomeSink &Outcomes;
   JobObserver &Observer;
   JobRunner Runner;
-  AttachDesk Desk;
+  AttachRegistry Registry;
   std::shared_ptr<const CatalogView> View;
   std::map<std::string, PeerRef> Peers;
   std::set<std::string> LiveEntries;
@@ -178,7 +178,7 @@
   std::multimap<TimePoint, std::string> Expiries;
   JobNumber LastNumber = 0;
   std::uint64_t LastAttempt = 0;
-  std::size_t Active = 0;
+  std::size_t ActiveJobs = 0;
   TimePoint LastConfirmed = TimePoint::min();
   bool Draining = false;
 };
--- a/entry/job_service_answers.cpp
+++ b/entry/job_service_answers.cpp
@@ -30,7 +30,7 @@
   bool WasRunning = Target.Phase == JobPhase::Running;
   Target.Phase = JobPhase::Finished;
   Target.Outcome = std::move(Outcome);
-  --this->Active;
+  --this->ActiveJobs;
   if (WasRunning) {
     this->Runner.stop(Target, Now);
     const auto &Pools = this->Runner.pools();
@@ -72,8 +72,8 @@
   }
 }
 
-void JobService::dismiss(Job &Target, const FailureSpec &Failure,
-                         TimePoint Now) {
+void JobService::finishReleased(Job &Target, const FailureSpec &Failure,
+                                TimePoint Now) {
   Target.Released = true;
   this->finish(Target, failureOutcome(Failure), Now);
 }
@@ -83,8 +83,9 @@
   Failure.Kind = peer::FAILURE_CANCELLED;
   Failure.Step = "cancel";
   Failure.Reason = "cancelled by the caller";
-  Failure.Ran = Target.Phase == JobPhase::Running ? Target.ran()
-                                                  : Target.Request.freshRan();
+  Failure.Ran = Target.Phase == JobPhase::Running
+                    ? Target.ran()
+                    : Target.Request.ranBeforeClaim();
   this->finish(Target, failureOutcome(Failure), Now.Steady);
 }
 
@@ -93,12 +94,12 @@
   this->Runner.tick(Now.Steady);
   this->tickDeadlines(Now.Steady);
   this->tickExpiries(Now.Steady);
-  for (Ticket Silent : this->Desk.tick(Now.Steady)) {
+  for (Ticket Silent : this->Registry.tick(Now.Steady)) {
     FailureSpec Failure;
     Failure.Kind = peer::FAILURE_PEER_LOST;
     Failure.Ran = peer::RAN_UNKNOWN;
     Failure.Step = "attach";
-    Failure.Peer = this->Desk.ownerOf(Silent).entry();
+    Failure.Peer = this->Registry.ownerOf(Silent).entry();
     Failure.Reason = "the entry that owns the job does not answer";
     peer::JobOutcome Outcome = failureOutcome(Failure);
     this->closeAttach(Silent, &Outcome, Now.Steady);
@@ -118,7 +119,7 @@
     Failure.Reason = "the deadline has passed";
     Failure.Ran = Target->Phase == JobPhase::Running
                       ? Target->ran()
-                      : Target->Request.freshRan();
+                      : Target->Request.ranBeforeClaim();
     this->finish(*Target, failureOutcome(Failure), Now);
   }
 }
@@ -143,7 +144,7 @@
       Now < Target->KeepUntil)
     return;
   // Tasks that are still out must find their job.
-  if (Target->OutCount > 0) {
+  if (Target->OutstandingCount > 0) {
     this->Expiries.emplace(Now + SoonAgain, Key);
     return;
   }
--- a/entry/job_service_peers.cpp
+++ b/entry/job_service_peers.cpp
@@ -52,7 +52,7 @@
     return;
   }
   if (this->Ended.find(Key)) {
-    peer::JobOutcome Gone = failureOutcome(answerGone());
+    peer::JobOutcome Gone = failureOutcome(answerExpired());
     this->Outcomes.onOutcome(Waiter, &Gone);
     return;
   }
@@ -67,8 +67,8 @@
   if (Decision.Result == ClaimResult::Held) {
     AttachMode Mode =
         Asked.Kind == QueryKind::Cancel ? AttachMode::Cancel : AttachMode::Peek;
-    Ticket Request = this->Desk.open(Asked.Key, Decision.Owner,
-                                     Decision.Fingerprint, Mode, Now.Steady);
+    Ticket Request = this->Registry.open(
+        Asked.Key, Decision.Owner, Decision.Fingerprint, Mode, Now.Steady);
     this->Attaches[Request] = {"", Asked};
     return;
   }
@@ -94,20 +94,21 @@
                                  Instant Now) {
   RemoteWaiter Asker{From, Request.ticket(), Request.asker_incarnation()};
   Job *Known = this->find(Request.job_key());
-  bool ThisLife =
+  bool SameIncarnation =
       Request.owner_incarnation() == this->Options.Self.incarnation();
   bool Mine = Known != nullptr && Known->Phase != JobPhase::Attached &&
-              !Known->Released && ThisLife;
+              !Known->Released && SameIncarnation;
   std::optional<std::uint64_t> EndedHash = this->Ended.find(Request.job_key());
-  if (!Mine && ThisLife && EndedHash) {
+  if (!Mine && SameIncarnation && EndedHash) {
     bool Same = *EndedHash == Request.fingerprint();
-    peer::JobOutcome Gone = failureOutcome(Same ? answerGone() : idConflict());
+    peer::JobOutcome Gone =
+        failureOutcome(Same ? answerExpired() : idConflict());
     this->replyAttach(Asker, peer::ATTACH_ANSWERED, &Gone);
     return;
   }
   if (!Mine) {
-    if (ThisLife)
-      this->disown(Request.job_key());
+    if (SameIncarnation)
+      this->releaseStaleGrant(Request.job_key());
     this->replyAttach(Asker, peer::ATTACH_NOT_MINE, nullptr);
     return;
   }
@@ -123,8 +124,8 @@
   }
   auto IsSame = [&](const RemoteWaiter &Waiter) {
     return Waiter.Entry.Node == From.Node &&
-           Waiter.TheirTicket == Asker.TheirTicket &&
-           Waiter.TheirIncarnation == Asker.TheirIncarnation;
+           Waiter.RemoteTicket == Asker.RemoteTicket &&
+           Waiter.RemoteIncarnation == Asker.RemoteIncarnation;
   };
   bool Listed = std::any_of(Known->RemoteWaiters.begin(),
                             Known->RemoteWaiters.end(), IsSame);
@@ -137,7 +138,7 @@
   this->replyAttach(Asker, peer::ATTACH_PENDING, nullptr);
 }
 
-void JobService::disown(const std::string &Key) {
+void JobService::releaseStaleGrant(const std::string &Key) {
   // A lost release left a grant behind; nothing was or will be started.
   PendingClaim Claim;
   Claim.JobKey = Key;
@@ -150,8 +151,8 @@
                              const peer::JobOutcome *Outcome) {
   peer::Message Message;
   peer::AttachReply *Reply = Message.mutable_attach_reply();
-  Reply->set_ticket(To.TheirTicket);
-  Reply->set_asker_incarnation(To.TheirIncarnation);
+  Reply->set_ticket(To.RemoteTicket);
+  Reply->set_asker_incarnation(To.RemoteIncarnation);
   Reply->set_state(State);
   if (Outcome != nullptr)
     *Reply->mutable_outcome() = *Outcome;
@@ -162,7 +163,8 @@
 
 void JobService::onAttachReply(const peer::AttachReply &Reply, Instant Now) {
   auto Found = this->Attaches.find(Reply.ticket());
-  if (Found == this->Attaches.end() || !this->Desk.onReply(Reply, Now.Steady))
+  if (Found == this->Attaches.end() ||
+      !this->Registry.onReply(Reply, Now.Steady))
     return;
   switch (Reply.state()) {
   case peer::ATTACH_PENDING:
@@ -177,7 +179,7 @@
   }
   FailureSpec Failure;
   Failure.Step = "attach";
-  Failure.Peer = this->Desk.ownerOf(Reply.ticket()).entry();
+  Failure.Peer = this->Registry.ownerOf(Reply.ticket()).entry();
   Failure.Ran = peer::RAN_UNKNOWN;
   if (Reply.state() == peer::ATTACH_CONFLICT) {
     Failure.Kind = peer::FAILURE_CONFLICT;
@@ -196,7 +198,7 @@
                              TimePoint Now) {
   OpenAttach Closed = this->Attaches.at(Request);
   this->Attaches.erase(Request);
-  this->Desk.close(Request);
+  this->Registry.close(Request);
   if (Closed.Asked) {
     this->Outcomes.onOutcome(Closed.Asked->Waiter, Outcome);
     return;
--- a/entry/pool.cpp
+++ b/entry/pool.cpp
@@ -40,7 +40,7 @@
     List.erase(Found);
 }
 
-void Pool::learnService(std::chrono::microseconds Seen) {
+void Pool::addServiceSample(std::chrono::microseconds Seen) {
   constexpr int Memory = 16;
   this->Service += (Seen - this->Service) / Memory;
 }
--- a/entry/pool.h
+++ b/entry/pool.h
@@ -46,7 +46,7 @@
 
   /// Typical service time of a task here, learned from what ended.
   std::chrono::microseconds typicalService() const { return this->Service; }
-  void learnService(std::chrono::microseconds Seen);
+  void addServiceSample(std::chrono::microseconds Seen);
 
 private:
   std::map<std::string, std::unique_ptr<RoutePolicy>> Policies;
--- a/entry/request_path.cpp
+++ b/entry/request_path.cpp
@@ -12,9 +12,9 @@
 
 namespace {
 
-constexpr std::uint32_t MaxDeclared = 3600000;
+constexpr std::uint32_t MaxDeclaredMs = 3600000;
 /// About the time in which an entry that starts is told of its configuration.
-constexpr std::chrono::milliseconds UnconfiguredRetry{1000};
+constexpr std::chrono::milliseconds UnconfiguredRetryDelay{1000};
 
 Rejection reject(std::string Reason) {
   return {HttpStatus::BadRequest, "validate", std::move(Reason)};
@@ -45,7 +45,7 @@
     JobId Made = makeUuidV7(Now, Random);
     Request.Id = Made.Key;
     Request.FirstSubmitted = Now;
-    Request.IdMadeHere = true;
+    Request.HasGeneratedId = true;
     return std::nullopt;
   }
   if (std::optional<JobId> Uuid = parseUuidV7(Document.id())) {
@@ -73,9 +73,9 @@
     return reject(
         fmt::format("tasks: expected 1 to {}, found {}", MaxTasks, Count));
   for (const api::TaskSpec &Given : Document.tasks()) {
-    if (Given.declared_ms() > MaxDeclared)
+    if (Given.declared_ms() > MaxDeclaredMs)
       return reject(fmt::format("tasks[{}].declared_ms: expected 0 to {}",
-                                Request.Tasks.size(), MaxDeclared));
+                                Request.Tasks.size(), MaxDeclaredMs));
     TaskSpec Task;
     Task.Payload = Given.payload();
     Task.Declared = std::chrono::milliseconds(Given.declared_ms());
@@ -122,7 +122,7 @@
     return std::nullopt;
   return Rejection{HttpStatus::Unavailable, "validate",
                    "this entry has not heard of its configuration yet",
-                   UnconfiguredRetry};
+                   UnconfiguredRetryDelay};
 }
 
 std::optional<Rejection>
--- a/ledger/claimant.cpp
+++ b/ledger/claimant.cpp
@@ -14,7 +14,7 @@
   return Decision;
 }
 
-ClaimDecision heldBy(const peer::ClaimReply &Reply) {
+ClaimDecision makeHeldDecision(const peer::ClaimReply &Reply) {
   ClaimDecision Decision;
   Decision.Result = ClaimResult::Held;
   Decision.Owner = Reply.owner();
@@ -31,7 +31,7 @@
 Claimant::Claimant(peer::ClaimRequest Request, std::vector<PeerRef> Holders,
                    ClaimTimes Times, TimePoint Now, bool LikelyHeld)
     : Request(std::move(Request)), Holders(std::move(Holders)),
-      Replies(this->Holders.size()), AskedOne(LikelyHeld), Times(Times),
+      Replies(this->Holders.size()), OnlyFirstAsked(LikelyHeld), Times(Times),
       Deadline(Now + Times.Timeout), NextSend(Now + Times.Resend) {}
 
 void Claimant::ask(PeerSink &Sink) {
@@ -39,7 +39,7 @@
     const std::optional<peer::ClaimReply> &Known = this->Replies[I];
     if (Known && Known->verdict() == peer::CLAIM_GRANTED)
       continue;
-    if (this->AskedOne && I > 0)
+    if (this->OnlyFirstAsked && I > 0)
       return;
     peer::Message Message;
     *Message.mutable_claim_request() = this->Request;
@@ -51,7 +51,7 @@
   for (std::size_t I = 0; I < this->Holders.size(); ++I) {
     const std::optional<peer::ClaimReply> &Known = this->Replies[I];
     bool Nothing = (Known && Known->verdict() != peer::CLAIM_GRANTED) ||
-                   (this->AskedOne && I > 0) || this->Request.read_only();
+                   (this->OnlyFirstAsked && I > 0) || this->Request.read_only();
     if (Nothing)
       continue;
     const PeerRef &Holder = this->Holders[I];
@@ -81,8 +81,8 @@
     if (!Known || Known->verdict() != peer::CLAIM_GRANTED)
       Known = Reply;
   }
-  if (this->AskedOne && Reply.verdict() != peer::CLAIM_HELD) {
-    this->AskedOne = false;
+  if (this->OnlyFirstAsked && Reply.verdict() != peer::CLAIM_HELD) {
+    this->OnlyFirstAsked = false;
     this->ask(Sink);
   }
   return this->decide();
@@ -90,10 +90,10 @@
 
 std::optional<ClaimDecision> Claimant::onTick(TimePoint Now, PeerSink &Sink) {
   if (Now >= this->Deadline)
-    return this->decideLate();
+    return this->decideOnTimeout();
   if (Now >= this->NextSend) {
     this->NextSend = Now + this->Times.Resend;
-    this->AskedOne = false;
+    this->OnlyFirstAsked = false;
     this->ask(Sink);
   }
   return std::nullopt;
@@ -127,8 +127,8 @@
       continue;
     bool Decided = this->countHeldBy(Reply->owner()) >= HolderMajority;
     bool Yields = this->Request.owner().entry() > Reply->owner().entry();
-    if (Decided || Yields || this->AskedOne || this->Request.read_only())
-      return heldBy(*Reply);
+    if (Decided || Yields || this->OnlyFirstAsked || this->Request.read_only())
+      return makeHeldDecision(*Reply);
   }
   return std::nullopt;
 }
@@ -156,9 +156,9 @@
   return std::nullopt;
 }
 
-ClaimDecision Claimant::decideLate() const {
+ClaimDecision Claimant::decideOnTimeout() const {
   if (const peer::ClaimReply *Held = this->heldReply())
-    return heldBy(*Held);
+    return makeHeldDecision(*Held);
   if (this->count(peer::CLAIM_CANNOT_KNOW) > 0)
     return plain(ClaimResult::Unknown);
   return plain(ClaimResult::Unavailable);
--- a/ledger/claimant.h
+++ b/ledger/claimant.h
@@ -81,7 +81,7 @@
   const peer::ClaimReply *heldReply() const;
   std::size_t countHeldBy(const peer::Owner &Owner) const;
   std::optional<ClaimDecision> decide() const;
-  ClaimDecision decideLate() const;
+  ClaimDecision decideOnTimeout() const;
   std::optional<ClaimDecision> decideHeld() const;
 
   peer::ClaimRequest Request;
@@ -89,7 +89,7 @@
   /// The newest reply of each holder, in the order of Holders.
   std::vector<std::optional<peer::ClaimReply>> Replies;
   /// Only the first holder has been asked.
-  bool AskedOne;
+  bool OnlyFirstAsked;
   ClaimTimes Times;
   TimePoint Deadline;
   TimePoint NextSend;
--- a/ledger/ledger_holder.cpp
+++ b/ledger/ledger_holder.cpp
@@ -30,7 +30,8 @@
     // at most one allowance ahead of a clock that differs by another one.
     auto [Held, New] = this->Seats.try_emplace(Number);
     if (New)
-      Held->second.KnownSince = Now + 2 * this->Options.ClockAllowance;
+      Held->second.RecordsCompleteSince =
+          Now + 2 * this->Options.ClockAllowance;
     Held->second.Epoch = Group.epoch();
     Held->second.Sealed = Group.sealed();
   }
@@ -43,12 +44,13 @@
   Reply.set_attempt(Request.attempt());
   Reply.set_holder(this->Name);
   Reply.set_asker_incarnation(Request.owner().incarnation());
-  Reply.set_verdict(this->judge(Request, Now, Reply));
+  Reply.set_verdict(this->evaluate(Request, Now, Reply));
   return Reply;
 }
 
-peer::ClaimVerdict LedgerHolder::judge(const peer::ClaimRequest &Request,
-                                       WallTime Now, peer::ClaimReply &Reply) {
+peer::ClaimVerdict LedgerHolder::evaluate(const peer::ClaimRequest &Request,
+                                          WallTime Now,
+                                          peer::ClaimReply &Reply) {
   auto Held = this->Seats.find(Request.group());
   if (Held == this->Seats.end())
     return peer::CLAIM_WRONG_EPOCH;
@@ -65,7 +67,7 @@
     return peer::CLAIM_HELD;
   }
   if (Known == this->Records.end()) {
-    peer::ClaimVerdict Verdict = this->judgeStamp(Request, Held->second, Now);
+    peer::ClaimVerdict Verdict = this->checkStamp(Request, Held->second, Now);
     if (Verdict != peer::CLAIM_GRANTED)
       return Verdict;
   }
@@ -81,7 +83,7 @@
   return peer::CLAIM_GRANTED;
 }
 
-peer::ClaimVerdict LedgerHolder::judgeStamp(const peer::ClaimRequest &Request,
+peer::ClaimVerdict LedgerHolder::checkStamp(const peer::ClaimRequest &Request,
                                             const Seat &Held,
                                             WallTime Now) const {
   WallTime Stamp = fromUnixMillis(Request.stamp_ms());
@@ -89,7 +91,7 @@
     return peer::CLAIM_IN_FUTURE;
   if (Stamp < Now - this->Options.Retention)
     return peer::CLAIM_EXPIRED;
-  if (this->Options.RefuseUnknownPast && Stamp <= Held.KnownSince)
+  if (this->Options.RefuseUnknownPast && Stamp <= Held.RecordsCompleteSince)
     return peer::CLAIM_CANNOT_KNOW;
   return peer::CLAIM_GRANTED;
 }
--- a/ledger/ledger_holder.h
+++ b/ledger/ledger_holder.h
@@ -51,7 +51,7 @@
     std::uint64_t Epoch = 0;
     bool Sealed = false;
     /// Ids first submitted before this may have been granted unseen.
-    WallTime KnownSince;
+    WallTime RecordsCompleteSince;
   };
   struct Record {
     /// Empty entry name: the claim was given back.
@@ -61,9 +61,9 @@
     WallTime Stamp;
   };
 
-  peer::ClaimVerdict judge(const peer::ClaimRequest &Request, WallTime Now,
-                           peer::ClaimReply &Reply);
-  peer::ClaimVerdict judgeStamp(const peer::ClaimRequest &Request,
+  peer::ClaimVerdict evaluate(const peer::ClaimRequest &Request, WallTime Now,
+                              peer::ClaimReply &Reply);
+  peer::ClaimVerdict checkStamp(const peer::ClaimRequest &Request,
                                 const Seat &Held, WallTime Now) const;
   void record(const peer::ClaimRequest &Request);
 
--- a/tests/control/configuration_test.cpp
+++ b/tests/control/configuration_test.cpp
@@ -205,7 +205,7 @@
     Cluster.World.cut("e1", Replica);
   Cluster.run(3s);
   JobRequest Job = Cluster.makeJob("job", 2);
-  Job.IdMadeHere = true;
+  Job.HasGeneratedId = true;
   std::size_t Number = Cluster.submit("e1", Job);
   const peer::JobFailure &Failure = Cluster.answer(Number).Outcome.failure();
   LONGS_EQUAL(peer::FAILURE_UNAVAILABLE, Failure.kind());
--- a/tests/ledger/at_most_once_test.cpp
+++ b/tests/ledger/at_most_once_test.cpp
@@ -367,7 +367,7 @@
     for (int I = 0; I < 4; ++I)
       Cluster.submit("e2", Cluster.makeJob(fmt::format("fill{}", I), 10));
     Cluster.run(30ms);
-    Job.IdMadeHere = Naive;
+    Job.HasGeneratedId = Naive;
     std::size_t Again = Cluster.submit("e2", Job);
     Cluster.run(1s);
     CHECK_EQUAL(Naive, !Cluster.violation().empty());
