--- a/entry/answer_path.cpp
+++ b/entry/answer_path.cpp
@@ -102,18 +102,18 @@
   Document.set_workspace(printable(Workspace));
   Document.set_status("failed");
   api::Failure *Failure = Document.mutable_failure();
-  bool Early = Rejected.Status == HttpStatus::Unavailable;
-  Failure->set_kind(Early                                     ? "unavailable"
+  bool IsUnavailable = Rejected.Status == HttpStatus::Unavailable;
+  Failure->set_kind(IsUnavailable                             ? "unavailable"
                     : Rejected.Status == HttpStatus::NotFound ? "not_found"
                                                               : "invalid");
   // An entry that knows nothing yet cannot say what another one has run.
-  Failure->set_ran(Early ? "unknown" : "not_run");
+  Failure->set_ran(IsUnavailable ? "unknown" : "not_run");
   Failure->set_step(Rejected.Step);
   Failure->set_reason(Rejected.Reason);
   Failure->set_task(-1);
   Failure->set_advice(
-      Early ? "send it again with the same id after retry_after_ms"
-            : "correct the request; as it is, it will never be taken");
+      IsUnavailable ? "send it again with the same id after retry_after_ms"
+                    : "correct the request; as it is, it will never be taken");
   Failure->set_retry_after_ms(
       static_cast<std::uint32_t>(Rejected.RetryAfter.count()));
   HttpAnswer Answer;
--- a/entry/attach_registry.cpp
+++ b/entry/attach_registry.cpp
@@ -6,14 +6,14 @@
 
 /// The links tell of questions that did not arrive, so this is a last resort.
 constexpr std::chrono::milliseconds ResendInterval{2000};
-constexpr std::uint32_t MaxUnanswered = 4;
+constexpr std::uint32_t MaxUnansweredSends = 4;
 
 } // namespace
 
 Ticket AttachRegistry::open(const std::string &Key, const peer::Owner &Owner,
                             std::uint64_t Fingerprint, AttachMode Mode,
                             TimePoint Now) {
-  Ticket Number = ++this->Last;
+  Ticket Number = ++this->LastTicket;
   Request &Target = this->Requests[Number];
   Target.Owner = Owner;
   peer::AttachRequest *Body = Target.Message.mutable_attach_request();
@@ -48,7 +48,7 @@
 
 void AttachRegistry::onSendFailed(const std::string &Entry, TimePoint Now) {
   for (auto &[Number, Target] : this->Requests)
-    if (Target.Owner.entry() == Entry && Target.Unanswered < MaxUnanswered)
+    if (Target.Owner.entry() == Entry && Target.Unanswered < MaxUnansweredSends)
       this->send(Target, Now);
     else if (Target.Owner.entry() == Entry)
       Target.NextSend = Now;
@@ -59,7 +59,7 @@
   for (auto &[Number, Target] : this->Requests) {
     if (Now < Target.NextSend)
       continue;
-    if (Target.Unanswered >= MaxUnanswered)
+    if (Target.Unanswered >= MaxUnansweredSends)
       Silent.push_back(Number);
     else
       this->send(Target, Now);
--- a/entry/attach_registry.h
+++ b/entry/attach_registry.h
@@ -58,7 +58,7 @@
   /// The life of this entry, which replies must name.
   std::uint64_t Incarnation;
   PeerSink &Sink;
-  Ticket Last = 0;
+  Ticket LastTicket = 0;
   std::map<Ticket, Request> Requests;
 };
 
--- a/entry/entry_http.cpp
+++ b/entry/entry_http.cpp
@@ -61,7 +61,7 @@
                      "expected POST");
   } else if (isUnder(Request, "jobs", JobDepth)) {
     if (Request.Method == HttpMethod::Get)
-      this->query(Request, QueryKind::Look, Reply);
+      this->query(Request, QueryKind::Status, Reply);
     else if (Request.Method == HttpMethod::Delete)
       this->query(Request, QueryKind::Cancel, Reply);
     else
@@ -109,8 +109,8 @@
   }
   Ticket Number = ++this->LastTicket;
   this->Loop->post([this, Job = std::move(Job), Reply, Number](Instant Now) {
-    this->wait(Number,
-               {Reply, Job.Workspace, Job.Id, Now.Steady + this->WaitTimeout});
+    this->addWaiter(
+        Number, {Reply, Job.Workspace, Job.Id, Now.Steady + this->WaitTimeout});
     this->Service->submit(Job, Number, Now);
   });
 }
@@ -122,25 +122,27 @@
   if (std::optional<JobId> Uuid = parseUuidV7(Id))
     Id = Uuid->Key;
   auto View = this->Catalog.view();
-  if (std::optional<Rejection> Early = rejectUnconfigured(*View)) {
-    Reply->send(answerFor(Workspace, *Early));
+  if (std::optional<Rejection> Unconfigured = rejectUnconfigured(*View)) {
+    Reply->send(answerFor(Workspace, *Unconfigured));
     return;
   }
-  bool KnownPlace = View->findWorkspace(Workspace) != nullptr;
-  if (!KnownPlace || !isPlainKey(Id)) {
+  bool IsKnownWorkspace = View->findWorkspace(Workspace) != nullptr;
+  if (!IsKnownWorkspace || !isPlainKey(Id)) {
     Reply->send(answerFor(
-        Workspace, {HttpStatus::NotFound, "validate",
-                    KnownPlace ? "id: not an id" : "workspace: not found"}));
+        Workspace,
+        {HttpStatus::NotFound, "validate",
+         IsKnownWorkspace ? "id: not an id" : "workspace: not found"}));
     return;
   }
   Ticket Number = ++this->LastTicket;
   this->Loop->post([this, Workspace, Id, Kind, Reply, Number](Instant Now) {
-    this->wait(Number, {Reply, Workspace, Id, Now.Steady + this->WaitTimeout});
+    this->addWaiter(Number,
+                    {Reply, Workspace, Id, Now.Steady + this->WaitTimeout});
     this->Service->query(Workspace + "/" + Id, Kind, Number, Now);
   });
 }
 
-void EntryHttp::wait(Ticket Number, Waiter New) {
+void EntryHttp::addWaiter(Ticket Number, Waiter New) {
   this->Waiting[Number] = std::move(New);
   this->WaitOrder.push_back(Number);
 }
@@ -149,7 +151,7 @@
   // All wait equally long, so the oldest is the first to give up.
   while (!this->WaitOrder.empty()) {
     auto Oldest = this->Waiting.find(this->WaitOrder.front());
-    if (Oldest != this->Waiting.end() && Now < Oldest->second.GiveUp)
+    if (Oldest != this->Waiting.end() && Now < Oldest->second.GiveUpAt)
       return;
     if (Oldest != this->Waiting.end())
       this->onOutcome(Oldest->first, nullptr);
--- a/entry/entry_http.h
+++ b/entry/entry_http.h
@@ -51,7 +51,7 @@
     std::shared_ptr<HttpReply> Reply;
     std::string Workspace;
     std::string Id;
-    TimePoint GiveUp;
+    TimePoint GiveUpAt;
   };
 
   void routeHealth(const HttpRequest &Request, HttpReply &Reply) const;
@@ -59,7 +59,7 @@
               const std::shared_ptr<HttpReply> &Reply);
   void query(const HttpRequest &Request, QueryKind Kind,
              const std::shared_ptr<HttpReply> &Reply);
-  void wait(Ticket Number, Waiter New);
+  void addWaiter(Ticket Number, Waiter New);
   void report(const HttpRequest &Request, HttpReply &Reply) const;
 
   Logger Log{"answer"};
--- a/entry/job_metrics.cpp
+++ b/entry/job_metrics.cpp
@@ -67,7 +67,7 @@
   std::size_t Tasks = Ended.States.size();
   Key Labels{Ended.Request.Workspace, jobClass(Tasks), Ended.Policy};
   std::lock_guard Lock(this->Mutex);
-  auto Found = this->All.try_emplace(Labels, makeSeries()).first;
+  auto Found = this->SeriesByKey.try_emplace(Labels, makeSeries()).first;
   Series &Target = Found->second;
   ++Target.Jobs;
   Target.Tasks += Tasks;
@@ -89,7 +89,7 @@
   std::lock_guard Lock(this->Mutex);
   std::string Text = "# TYPE yardwheel_response_ms histogram\n"
                      "# TYPE yardwheel_slowdown histogram\n";
-  for (const auto &[Labels, Source] : this->All) {
+  for (const auto &[Labels, Source] : this->SeriesByKey) {
     std::string Common =
         fmt::format("workspace=\"{}\",class=\"{}\",policy=\"{}\"",
                     Labels.Workspace, Labels.Class, Labels.Policy);
@@ -116,7 +116,7 @@
   };
   std::lock_guard Lock(this->Mutex);
   std::map<std::string, Arm> Arms;
-  for (const auto &[Labels, Source] : this->All) {
+  for (const auto &[Labels, Source] : this->SeriesByKey) {
     if (Labels.Workspace != Workspace)
       continue;
     auto Found =
--- a/entry/job_metrics.h
+++ b/entry/job_metrics.h
@@ -62,7 +62,7 @@
   static Series makeSeries();
 
   mutable std::mutex Mutex;
-  std::map<Key, Series> All;
+  std::map<Key, Series> SeriesByKey;
 };
 
 } // namespace yardwheel
--- a/entry/job_runner.cpp
+++ b/entry/job_runner.cpp
@@ -17,10 +17,10 @@
 constexpr std::int64_t RankDelayFactor = 64;
 
 /// Jobs go by their arrival, put off by their size.
-JobRank rankOf(const Job &Target, const Pool &Place, TimePoint Now) {
+JobRank rankOf(const Job &Target, const Pool &TargetPool, TimePoint Now) {
   auto Tasks = static_cast<std::int64_t>(Target.Request.Tasks.size());
-  std::int64_t Slots = std::max(Place.Upstreams.aliveSlots(), 1U);
-  std::int64_t Spread = Place.typicalService().count() * Tasks / Slots;
+  std::int64_t Slots = std::max(TargetPool.Upstreams.aliveSlots(), 1U);
+  std::int64_t Spread = TargetPool.typicalService().count() * Tasks / Slots;
   return Now.time_since_epoch().count() + RankDelayFactor * Spread;
 }
 
@@ -62,21 +62,21 @@
     Refusal.RetryAfter = std::chrono::seconds(1);
     return Refusal;
   }
-  Pool &Place = Found->second;
+  Pool &TargetPool = Found->second;
   for (std::size_t I = 0; I < Count; ++I) {
-    if (Place.Upstreams.fitsSomewhere(Target.Request.Tasks[I].Needs))
+    if (TargetPool.Upstreams.fitsSomewhere(Target.Request.Tasks[I].Needs))
       continue;
     Refusal.Kind = peer::FAILURE_NEVER_FITS;
     Refusal.Reason = "no worker of the pool is large enough, even when empty";
     Refusal.Task = static_cast<int>(I);
     return Refusal;
   }
-  std::size_t Waiting = Place.Queue.waiting(Target.Request.Workspace);
+  std::size_t Waiting = TargetPool.Queue.waiting(Target.Request.Workspace);
   if (Waiting + Count > Target.Limits.queue_limit()) {
     Refusal.Kind = peer::FAILURE_LIMIT;
     Refusal.Reason = fmt::format("{} tasks wait already, queue_limit is {}",
                                  Waiting, Target.Limits.queue_limit());
-    Refusal.RetryAfter = estimateWait(Place);
+    Refusal.RetryAfter = estimateWait(TargetPool);
   }
   return Refusal;
 }
@@ -86,26 +86,27 @@
   this->NumberOfKey[Target.Request.key()] = Target.Number;
   Target.States.assign(Target.Request.Tasks.size(), {});
   Target.Results.assign(Target.Request.Tasks.size(), {});
-  Pool &Place = this->Pools[Target.PoolName];
-  Target.Rank = rankOf(Target, Place, Now);
+  Pool &TargetPool = this->Pools[Target.PoolName];
+  Target.Rank = rankOf(Target, TargetPool, Now);
   const std::string &Workspace = Target.Request.Workspace;
-  Place.Queue.configure(Workspace, Target.Limits.weight(),
-                        Target.Limits.capacity());
+  TargetPool.Queue.configure(Workspace, Target.Limits.weight(),
+                             Target.Limits.capacity());
   for (std::uint32_t I = 0; I < Target.States.size(); ++I)
-    Place.Queue.push(Workspace, Target.Rank, Target.Number, I);
-  this->schedule(Place, Now);
+    TargetPool.Queue.push(Workspace, Target.Rank, Target.Number, I);
+  this->schedule(TargetPool, Now);
 }
 
 void JobRunner::stop(Job &Target, TimePoint Now) {
-  Pool &Place = this->Pools[Target.PoolName];
-  Place.Queue.removeJob(Target.Request.Workspace, Target.Rank, Target.Number);
-  std::map<UpstreamIndex, std::vector<std::uint32_t>> Out;
+  Pool &TargetPool = this->Pools[Target.PoolName];
+  TargetPool.Queue.removeJob(Target.Request.Workspace, Target.Rank,
+                             Target.Number);
+  std::map<UpstreamIndex, std::vector<std::uint32_t>> Outstanding;
   for (std::uint32_t I = 0; I < Target.States.size(); ++I) {
     const TaskState &Task = Target.States[I];
     if (Task.Phase == TaskPhase::Sent || Task.Phase == TaskPhase::Started)
-      Out[Task.Upstream].push_back(I);
+      Outstanding[Task.Upstream].push_back(I);
   }
-  for (const auto &[Upstream, Tasks] : Out)
+  for (const auto &[Upstream, Tasks] : Outstanding)
     this->sendWithdraw(Target, Upstream, Tasks, /*Probe=*/false);
 }
 
@@ -255,10 +256,10 @@
   if (!Free || Target.Upstreams.eligible().empty())
     return;
   // A sample keeps the cost independent of the number of upstreams.
-  constexpr int Sample = 8;
+  constexpr int SampleSize = 8;
   const std::vector<UpstreamIndex> &Eligible = Target.Upstreams.eligible();
   std::optional<UpstreamIndex> Longest;
-  for (int I = 0; I < Sample; ++I) {
+  for (int I = 0; I < SampleSize; ++I) {
     UpstreamIndex Index = Eligible[this->Random() % Eligible.size()];
     const Upstream &Candidate = Target.Upstreams.at(Index);
     if (Candidate.Own == 0 || Candidate.load() <= Candidate.Slots)
@@ -304,29 +305,30 @@
 
 void JobRunner::onUpdate(const std::string &Agent,
                          const peer::TaskUpdate &Update, TimePoint Now) {
-  Pool *Place = this->poolOf(Agent);
+  Pool *TargetPool = this->poolOf(Agent);
   std::optional<UpstreamIndex> Upstream;
-  if (Place != nullptr)
-    Upstream = Place->Upstreams.find(Agent);
+  if (TargetPool != nullptr)
+    Upstream = TargetPool->Upstreams.find(Agent);
   if (!Upstream)
     return;
   Job *Owner = this->findByKey(Update.job_key());
   if (Owner != nullptr && Update.index() < Owner->States.size()) {
     TaskState &Task = Owner->States[Update.index()];
-    bool Out =
+    bool Outstanding =
         Task.Phase == TaskPhase::Sent || Task.Phase == TaskPhase::Started;
     // Words of an older send, of another life or of another agent are late.
-    bool SameAttempt =
-        Out && Task.Upstream == *Upstream && Task.Attempt == Update.attempt();
-    std::uint64_t Life = Update.load().incarnation();
+    bool SameAttempt = Outstanding && Task.Upstream == *Upstream &&
+                       Task.Attempt == Update.attempt();
+    std::uint64_t AgentIncarnation = Update.load().incarnation();
     // A later life can only say that it knows nothing of the task.
-    bool IsLaterIncarnation =
-        Life > Task.Incarnation && Update.event() == peer::TASK_CANNOT_KNOW;
-    if (SameAttempt && (Life == Task.Incarnation || IsLaterIncarnation))
+    bool IsLaterIncarnation = AgentIncarnation > Task.Incarnation &&
+                              Update.event() == peer::TASK_CANNOT_KNOW;
+    if (SameAttempt &&
+        (AgentIncarnation == Task.Incarnation || IsLaterIncarnation))
       this->apply(*Owner, Update, Now);
   }
-  Place->Upstreams.hear(*Upstream, Update.load(), Now);
-  this->schedule(*Place, Now);
+  TargetPool->Upstreams.hear(*Upstream, Update.load(), Now);
+  this->schedule(*TargetPool, Now);
 }
 
 void JobRunner::apply(Job &Owner, const peer::TaskUpdate &Update,
@@ -355,21 +357,21 @@
 }
 
 void JobRunner::settle(Job &Owner, std::uint32_t Index) {
-  Pool &Place = this->Pools[Owner.PoolName];
+  Pool &TargetPool = this->Pools[Owner.PoolName];
   TaskState &Task = Owner.States[Index];
-  Place.Upstreams.onSettled(Task.Upstream);
-  Place.removeTask(Task.Upstream, {Owner.Number, Index});
-  Place.Queue.onSettled(Owner.Request.Workspace);
+  TargetPool.Upstreams.onSettled(Task.Upstream);
+  TargetPool.removeTask(Task.Upstream, {Owner.Number, Index});
+  TargetPool.Queue.onSettled(Owner.Request.Workspace);
   --Owner.OutstandingCount;
 }
 
 void JobRunner::onNotStarted(Job &Owner, std::uint32_t Index,
                              const peer::TaskUpdate &Update, TimePoint Now) {
   TaskState &Task = Owner.States[Index];
-  Pool &Place = this->Pools[Owner.PoolName];
+  Pool &TargetPool = this->Pools[Owner.PoolName];
   if (Update.reason() == UpstreamUnreachable)
-    Place.Upstreams.onFailure(Task.Upstream, Owner.Limits.eject_failures(),
-                              Now);
+    TargetPool.Upstreams.onFailure(Task.Upstream, Owner.Limits.eject_failures(),
+                                   Now);
   this->settle(Owner, Index);
   Task.Phase = TaskPhase::Waiting;
   // The task went out and came back: both messages were for nothing.
@@ -378,40 +380,42 @@
     return;
   // News that was merely old costs no retry: the answer brought newer.
   if (Update.reason() == StaleNews)
-    Place.Queue.push(Owner.Request.Workspace, Owner.Rank, Owner.Number, Index);
+    TargetPool.Queue.push(Owner.Request.Workspace, Owner.Rank, Owner.Number,
+                          Index);
   else
     this->resend(Owner, Index, Update.reason(), Now);
 }
 
 void JobRunner::resend(Job &Owner, std::uint32_t Index,
                        const std::string &Reason, TimePoint Now) {
-  Pool &Place = this->Pools[Owner.PoolName];
-  if (!Place.budget(Owner.Request.Workspace).spend()) {
+  Pool &TargetPool = this->Pools[Owner.PoolName];
+  if (!TargetPool.budget(Owner.Request.Workspace).spend()) {
     FailureSpec Failure;
     Failure.Kind = peer::FAILURE_UNAVAILABLE;
     Failure.Step = "dispatch";
     Failure.Reason =
         fmt::format("retry budget spent; last refusal: {}", Reason);
     Failure.Task = static_cast<int>(Index);
-    Failure.RetryAfter = estimateWait(Place);
+    Failure.RetryAfter = estimateWait(TargetPool);
     this->fail(Owner, Failure, Now);
     return;
   }
-  Place.Queue.push(Owner.Request.Workspace, Owner.Rank, Owner.Number, Index);
+  TargetPool.Queue.push(Owner.Request.Workspace, Owner.Rank, Owner.Number,
+                        Index);
 }
 
 void JobRunner::onEnded(Job &Owner, std::uint32_t Index,
                         const peer::TaskUpdate &Update, TimePoint Now) {
   TaskState &Task = Owner.States[Index];
-  Pool &Place = this->Pools[Owner.PoolName];
+  Pool &TargetPool = this->Pools[Owner.PoolName];
   this->settle(Owner, Index);
   Task.Phase = TaskPhase::Done;
   bool Ran = Update.event() != peer::TASK_CANNOT_KNOW;
   Owner.AnythingRan = Owner.AnythingRan || Ran;
   if (Update.event() == peer::TASK_SUCCEEDED) {
     std::chrono::microseconds Service(Update.service_us());
-    Place.Upstreams.onSuccess(Task.Upstream);
-    Place.addServiceSample(Service);
+    TargetPool.Upstreams.onSuccess(Task.Upstream);
+    TargetPool.addServiceSample(Service);
     Owner.LongestService = std::max(Owner.LongestService, Service);
     Owner.TotalService += Service;
     if (Owner.Phase == JobPhase::Finished)
@@ -425,12 +429,12 @@
     return;
   FailureSpec Failure;
   Failure.Step = "execute";
-  Failure.Peer = Place.Upstreams.at(Task.Upstream).Name;
+  Failure.Peer = TargetPool.Upstreams.at(Task.Upstream).Name;
   Failure.Task = static_cast<int>(Index);
   Failure.Reason = Update.reason();
   if (Ran) {
-    Place.Upstreams.onFailure(Task.Upstream, Owner.Limits.eject_failures(),
-                              Now);
+    TargetPool.Upstreams.onFailure(Task.Upstream, Owner.Limits.eject_failures(),
+                                   Now);
     Failure.Kind = peer::FAILURE_TASK_FAILED;
   } else {
     Failure.Kind = peer::FAILURE_PEER_LOST;
--- a/entry/job_runner.h
+++ b/entry/job_runner.h
@@ -31,7 +31,7 @@
   /// Between two questions that stay without an answer.
   std::chrono::milliseconds ProbeInterval{500};
   /// An agent that leaves this many probes unanswered gets nothing more.
-  std::uint32_t MaxUnanswered = 3;
+  std::uint32_t MaxUnansweredProbes = 3;
   /// An upstream that was silent for this long is asked for its load, so that
   /// dispatches do not rest on news that its agent would refuse as old.
   std::chrono::milliseconds LoadRefreshTimeout{20000};
--- a/entry/job_runner_watch.cpp
+++ b/entry/job_runner_watch.cpp
@@ -94,9 +94,9 @@
     if (Owner == nullptr)
       continue;
     const TaskState &Task = Owner->States[Due.Task.Index];
-    bool Out =
+    bool Outstanding =
         Task.Phase == TaskPhase::Sent || Task.Phase == TaskPhase::Started;
-    if (!Out || Task.Attempt != Due.Attempt)
+    if (!Outstanding || Task.Attempt != Due.Attempt)
       continue;
     if (Due.IsRepeat && Task.UnansweredProbes == 0)
       this->Probes.emplace(Now + this->Options.ProbeTimeout,
@@ -107,13 +107,13 @@
 }
 
 void JobRunner::onSendFailed(const std::string &Agent, TimePoint Now) {
-  Pool *Place = this->poolOf(Agent);
+  Pool *TargetPool = this->poolOf(Agent);
   std::optional<UpstreamIndex> Upstream;
-  if (Place != nullptr)
-    Upstream = Place->Upstreams.find(Agent);
+  if (TargetPool != nullptr)
+    Upstream = TargetPool->Upstreams.find(Agent);
   if (!Upstream)
     return;
-  std::vector<TaskRef> Unconfirmed = Place->tasksAt(*Upstream);
+  std::vector<TaskRef> Unconfirmed = TargetPool->tasksAt(*Upstream);
   for (const TaskRef &Ref : Unconfirmed) {
     Job *Owner = this->find(Ref.Job);
     // One that is being asked about has its next question set already.
@@ -124,11 +124,11 @@
 
 void JobRunner::probe(Job &Owner, std::uint32_t Index, TimePoint Now) {
   TaskState &Task = Owner.States[Index];
-  Pool &Place = this->Pools[Owner.PoolName];
-  if (Task.UnansweredProbes >= this->Options.MaxUnanswered) {
-    Place.Upstreams.setSilent(Task.Upstream, true);
-    this->handleLostTasks(Place, Task.Upstream, "the agent does not answer",
-                          Now);
+  Pool &TargetPool = this->Pools[Owner.PoolName];
+  if (Task.UnansweredProbes >= this->Options.MaxUnansweredProbes) {
+    TargetPool.Upstreams.setSilent(Task.Upstream, true);
+    this->handleLostTasks(TargetPool, Task.Upstream,
+                          "the agent does not answer", Now);
     return;
   }
   ++Task.UnansweredProbes;
@@ -141,11 +141,12 @@
 void JobRunner::sendWithdraw(Job &Owner, UpstreamIndex Upstream,
                              const std::vector<std::uint32_t> &Tasks,
                              bool Probe) {
-  Pool &Place = this->Pools[Owner.PoolName];
+  Pool &TargetPool = this->Pools[Owner.PoolName];
   peer::Message Message;
   peer::Withdraw *Withdraw = Message.mutable_withdraw();
   Withdraw->set_job_key(Owner.Request.key());
-  Withdraw->set_agent_incarnation(Place.Upstreams.at(Upstream).Incarnation);
+  Withdraw->set_agent_incarnation(
+      TargetPool.Upstreams.at(Upstream).Incarnation);
   Withdraw->set_probe(Probe);
   Withdraw->set_stop_running(Owner.Phase == JobPhase::Finished);
   for (std::uint32_t Index : Tasks) {
@@ -156,7 +157,7 @@
   }
   // The question and its answer.
   Owner.WastedMessages += 2;
-  this->Sink.send(Place.Upstreams.at(Upstream).Agent, std::move(Message));
+  this->Sink.send(TargetPool.Upstreams.at(Upstream).Agent, std::move(Message));
 }
 
 } // namespace yardwheel
--- a/entry/job_service.cpp
+++ b/entry/job_service.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 constexpr std::chrono::milliseconds EpochRetryDelay{50};
-constexpr std::chrono::milliseconds SoonAgain{1000};
+constexpr std::chrono::milliseconds RetryDelay{1000};
 constexpr std::chrono::milliseconds ResubmissionAge{500};
 
 FailureSpec unavailable(const std::string &Step, const std::string &Reason,
@@ -19,23 +19,23 @@
   Failure.Ran = Ran;
   Failure.Step = Step;
   Failure.Reason = Reason;
-  Failure.RetryAfter = SoonAgain;
+  Failure.RetryAfter = RetryDelay;
   return Failure;
 }
 
 /// Whether a policy's share of an experiment covers this job.
-std::string policyFor(const peer::Workspace &Place, const std::string &Key) {
-  if (Place.experiment_size() == 0)
-    return Place.parameters().policy();
+std::string policyFor(const peer::Workspace &Config, const std::string &Key) {
+  if (Config.experiment_size() == 0)
+    return Config.parameters().policy();
   constexpr std::uint64_t WholePercent = 100;
-  std::uint64_t Point = combineHash(stableHash(Key), Place.version());
+  std::uint64_t Point = combineHash(stableHash(Key), Config.version());
   Point %= WholePercent;
-  for (const peer::PolicyShare &Arm : Place.experiment()) {
+  for (const peer::PolicyShare &Arm : Config.experiment()) {
     if (Point < Arm.share())
       return Arm.policy();
     Point -= Arm.share();
   }
-  return Place.parameters().policy();
+  return Config.parameters().policy();
 }
 
 } // namespace
@@ -120,7 +120,7 @@
   }
   PendingClaim Claim;
   Claim.JobKey = Target.Request.key();
-  Claim.GiveUp = Now.Steady + this->Options.Claims.Timeout;
+  Claim.GiveUpAt = Now.Steady + this->Options.Claims.Timeout;
   this->openClaim(std::move(Claim), toUnixMillis(Target.Request.FirstSubmitted),
                   Target.Request.Fingerprint, Now);
 }
@@ -190,14 +190,15 @@
 }
 
 Job &JobService::addJob(JobRequest Request, Ticket Waiter, Instant Now) {
-  const peer::Workspace &Place = *this->View->findWorkspace(Request.Workspace);
+  const peer::Workspace &Config = *this->View->findWorkspace(Request.Workspace);
   std::string Key = Request.key();
   auto New = std::make_unique<Job>();
   New->Number = ++this->LastNumber;
-  New->Limits = Place.parameters();
-  New->PoolName = Place.parameters().pool().empty() ? Place.name()
-                                                    : Place.parameters().pool();
-  New->Policy = policyFor(Place, Key);
+  New->Limits = Config.parameters();
+  New->PoolName = Config.parameters().pool().empty()
+                      ? Config.name()
+                      : Config.parameters().pool();
+  New->Policy = policyFor(Config, Key);
   New->Submitted = Now.Steady;
   New->Deadline = Now.Steady + Request.TimeLeft;
   New->Waiters.push_back(Waiter);
@@ -215,21 +216,22 @@
 void JobService::openClaim(PendingClaim Claim, std::int64_t StampMs,
                            std::uint64_t Fingerprint, Instant Now) {
   std::uint64_t Attempt = ++this->LastAttempt;
-  bool Planned = this->plan(Claim, Attempt, StampMs, Fingerprint, Now);
+  bool Planned = this->prepareClaim(Claim, Attempt, StampMs, Fingerprint, Now);
   this->Claims[Attempt] = std::move(Claim);
   if (Planned)
-    this->Claims[Attempt].Claim->ask(this->Sink);
+    this->Claims[Attempt].Claim->sendRequests(this->Sink);
   else
     this->onDecision(Attempt, ClaimDecision(), Now);
 }
 
-bool JobService::plan(PendingClaim &Claim, std::uint64_t Attempt,
-                      std::int64_t StampMs, std::uint64_t Fingerprint,
-                      Instant Now) {
+bool JobService::prepareClaim(PendingClaim &Claim, std::uint64_t Attempt,
+                              std::int64_t StampMs, std::uint64_t Fingerprint,
+                              Instant Now) {
   if (this->View->Groups.empty())
     return false;
   std::uint32_t Count = this->View->Groups.begin()->second.group_count();
-  const std::string &Key = Claim.Asked ? Claim.Asked->Key : Claim.JobKey;
+  const std::string &Key =
+      Claim.PendingQuery ? Claim.PendingQuery->Key : Claim.JobKey;
   auto Group = this->View->Groups.find(groupOf(Key, Count));
   if (Group == this->View->Groups.end())
     return false;
@@ -247,13 +249,13 @@
   Request.set_attempt(Attempt);
   Request.set_group(Group->first);
   Request.set_epoch(Group->second.epoch());
-  Request.set_read_only(Claim.Asked.has_value());
+  Request.set_read_only(Claim.PendingQuery.has_value());
   ClaimTimes Times = this->Options.Claims;
   Times.Timeout = std::chrono::duration_cast<std::chrono::milliseconds>(
-      Claim.GiveUp - Now.Steady);
+      Claim.GiveUpAt - Now.Steady);
   // An id that is older than a submission takes has been here before.
   WallTime Stamp = fromUnixMillis(StampMs);
-  bool LikelyHeld = Claim.Asked || Now.Wall - Stamp > ResubmissionAge;
+  bool LikelyHeld = Claim.PendingQuery || Now.Wall - Stamp > ResubmissionAge;
   Claim.Claim.emplace(std::move(Request), std::move(Holders), Times, Now.Steady,
                       LikelyHeld);
   return true;
@@ -279,7 +281,7 @@
   PendingClaim Claim = std::move(Found->second);
   this->Claims.erase(Found);
   // The holders have moved on: ask again, by then with their epoch.
-  bool MayRetry = Now.Steady + EpochRetryDelay < Claim.GiveUp;
+  bool MayRetry = Now.Steady + EpochRetryDelay < Claim.GiveUpAt;
   if (Decision.Result == ClaimResult::WrongEpoch && MayRetry) {
     std::int64_t Stamp = Claim.Claim->request().stamp_ms();
     std::uint64_t Fingerprint = Claim.Claim->request().fingerprint();
@@ -288,8 +290,8 @@
     this->openClaim(std::move(Claim), Stamp, Fingerprint, Now);
     return;
   }
-  if (Claim.Asked) {
-    this->onQueryDecision(*Claim.Asked, Decision, Now);
+  if (Claim.PendingQuery) {
+    this->onQueryDecision(*Claim.PendingQuery, Decision, Now);
     return;
   }
   Job *Target = this->find(Claim.JobKey);
--- a/entry/job_service.h
+++ b/entry/job_service.h
@@ -58,7 +58,7 @@
   bool ClaimsFirst = true;
 };
 
-enum class QueryKind { Look, Cancel };
+enum class QueryKind { Status, Cancel };
 
 class JobService final : public JobEvents {
 public:
@@ -97,20 +97,20 @@
 private:
   struct Query {
     std::string Key;
-    QueryKind Kind = QueryKind::Look;
+    QueryKind Kind = QueryKind::Status;
     Ticket Waiter = 0;
   };
   struct PendingClaim {
     std::optional<Claimant> Claim;
     /// Set where a job is claimed, else the claim serves a query.
     std::string JobKey;
-    std::optional<Query> Asked;
-    TimePoint GiveUp;
+    std::optional<Query> PendingQuery;
+    TimePoint GiveUpAt;
     TimePoint RetryAt;
   };
   struct OpenAttach {
     std::string JobKey;
-    std::optional<Query> Asked;
+    std::optional<Query> PendingQuery;
   };
 
   std::optional<FailureSpec> checkEnded(const JobRequest &Request) const;
@@ -123,13 +123,14 @@
 
   void openClaim(PendingClaim Claim, std::int64_t StampMs,
                  std::uint64_t Fingerprint, Instant Now);
-  bool plan(PendingClaim &Claim, std::uint64_t Attempt, std::int64_t StampMs,
-            std::uint64_t Fingerprint, Instant Now);
+  bool prepareClaim(PendingClaim &Claim, std::uint64_t Attempt,
+                    std::int64_t StampMs, std::uint64_t Fingerprint,
+                    Instant Now);
   void onDecision(std::uint64_t Attempt, const ClaimDecision &Decision,
                   Instant Now);
   void onJobDecision(Job &Target, PendingClaim &Claim,
                      const ClaimDecision &Decision, Instant Now);
-  void onQueryDecision(const Query &Asked, const ClaimDecision &Decision,
+  void onQueryDecision(const Query &PendingQuery, const ClaimDecision &Decision,
                        Instant Now);
   void onWon(Job &Target, PendingClaim &Claim, Instant Now);
   void onHeld(Job &Target, PendingClaim &Claim, const ClaimDecision &Decision,
--- a/entry/job_service_answers.cpp
+++ b/entry/job_service_answers.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-constexpr std::chrono::milliseconds SoonAgain{1000};
+constexpr std::chrono::milliseconds ExpiryRetryDelay{1000};
 
 } // namespace
 
@@ -34,9 +34,10 @@
   if (WasRunning) {
     this->Runner.stop(Target, Now);
     const auto &Pools = this->Runner.pools();
-    auto Place = Pools.find(Target.PoolName);
+    auto FoundPool = Pools.find(Target.PoolName);
     this->Observer.onJobEnded(
-        Target, Place == Pools.end() ? 0 : Place->second.Upstreams.aliveSlots(),
+        Target,
+        FoundPool == Pools.end() ? 0 : FoundPool->second.Upstreams.aliveSlots(),
         Now);
   }
   for (Ticket Waiter : Target.Waiters)
@@ -145,7 +146,7 @@
     return;
   // Tasks that are still out must find their job.
   if (Target->OutstandingCount > 0) {
-    this->Expiries.emplace(Now + SoonAgain, Key);
+    this->Expiries.emplace(Now + ExpiryRetryDelay, Key);
     return;
   }
   TimePoint Forget = Target->Submitted + this->Options.LedgerRetention +
--- a/entry/job_service_peers.cpp
+++ b/entry/job_service_peers.cpp
@@ -42,9 +42,9 @@
 void JobService::query(const std::string &Key, QueryKind Kind, Ticket Waiter,
                        Instant Now) {
   Job *Known = this->find(Key);
-  bool Here = Known != nullptr && Known->Phase != JobPhase::Attached &&
-              !Known->Released;
-  if (Here) {
+  bool IsKnownHere = Known != nullptr && Known->Phase != JobPhase::Attached &&
+                     !Known->Released;
+  if (IsKnownHere) {
     if (Kind == QueryKind::Cancel && !Known->Outcome)
       this->cancel(*Known, Now);
     this->Outcomes.onOutcome(Waiter,
@@ -52,24 +52,26 @@
     return;
   }
   if (this->Ended.find(Key)) {
-    peer::JobOutcome Gone = failureOutcome(answerExpired());
-    this->Outcomes.onOutcome(Waiter, &Gone);
+    peer::JobOutcome Expired = failureOutcome(answerExpired());
+    this->Outcomes.onOutcome(Waiter, &Expired);
     return;
   }
   PendingClaim Claim;
-  Claim.Asked = Query{Key, Kind, Waiter};
-  Claim.GiveUp = Now.Steady + this->Options.Claims.Timeout;
+  Claim.PendingQuery = Query{Key, Kind, Waiter};
+  Claim.GiveUpAt = Now.Steady + this->Options.Claims.Timeout;
   this->openClaim(std::move(Claim), toUnixMillis(Now.Wall), 0, Now);
 }
 
-void JobService::onQueryDecision(const Query &Asked,
+void JobService::onQueryDecision(const Query &PendingQuery,
                                  const ClaimDecision &Decision, Instant Now) {
   if (Decision.Result == ClaimResult::Held) {
-    AttachMode Mode =
-        Asked.Kind == QueryKind::Cancel ? AttachMode::Cancel : AttachMode::Peek;
-    Ticket Request = this->Registry.open(
-        Asked.Key, Decision.Owner, Decision.Fingerprint, Mode, Now.Steady);
-    this->Attaches[Request] = {"", Asked};
+    AttachMode Mode = PendingQuery.Kind == QueryKind::Cancel
+                          ? AttachMode::Cancel
+                          : AttachMode::Peek;
+    Ticket Request =
+        this->Registry.open(PendingQuery.Key, Decision.Owner,
+                            Decision.Fingerprint, Mode, Now.Steady);
+    this->Attaches[Request] = {"", PendingQuery};
     return;
   }
   FailureSpec Failure;
@@ -84,7 +86,7 @@
     Failure.RetryAfter = std::chrono::seconds(1);
   }
   peer::JobOutcome Outcome = failureOutcome(Failure);
-  this->Outcomes.onOutcome(Asked.Waiter, &Outcome);
+  this->Outcomes.onOutcome(PendingQuery.Waiter, &Outcome);
 }
 
 // ---- The owner's side ----
@@ -96,17 +98,18 @@
   Job *Known = this->find(Request.job_key());
   bool SameIncarnation =
       Request.owner_incarnation() == this->Options.Self.incarnation();
-  bool Mine = Known != nullptr && Known->Phase != JobPhase::Attached &&
-              !Known->Released && SameIncarnation;
-  std::optional<std::uint64_t> EndedHash = this->Ended.find(Request.job_key());
-  if (!Mine && SameIncarnation && EndedHash) {
-    bool Same = *EndedHash == Request.fingerprint();
-    peer::JobOutcome Gone =
+  bool IsOwnedHere = Known != nullptr && Known->Phase != JobPhase::Attached &&
+                     !Known->Released && SameIncarnation;
+  std::optional<std::uint64_t> EndedFingerprint =
+      this->Ended.find(Request.job_key());
+  if (!IsOwnedHere && SameIncarnation && EndedFingerprint) {
+    bool Same = *EndedFingerprint == Request.fingerprint();
+    peer::JobOutcome Expired =
         failureOutcome(Same ? answerExpired() : idConflict());
-    this->replyAttach(Asker, peer::ATTACH_ANSWERED, &Gone);
+    this->replyAttach(Asker, peer::ATTACH_ANSWERED, &Expired);
     return;
   }
-  if (!Mine) {
+  if (!IsOwnedHere) {
     if (SameIncarnation)
       this->releaseStaleGrant(Request.job_key());
     this->replyAttach(Asker, peer::ATTACH_NOT_MINE, nullptr);
@@ -143,7 +146,7 @@
   PendingClaim Claim;
   Claim.JobKey = Key;
   Instant Unused{};
-  if (this->plan(Claim, this->LastAttempt, 0, 0, Unused))
+  if (this->prepareClaim(Claim, this->LastAttempt, 0, 0, Unused))
     Claim.Claim->release(this->Sink);
 }
 
@@ -168,7 +171,7 @@
     return;
   switch (Reply.state()) {
   case peer::ATTACH_PENDING:
-    if (Found->second.Asked)
+    if (Found->second.PendingQuery)
       this->closeAttach(Reply.ticket(), nullptr, Now.Steady);
     return;
   case peer::ATTACH_ANSWERED:
@@ -199,8 +202,8 @@
   OpenAttach Closed = this->Attaches.at(Request);
   this->Attaches.erase(Request);
   this->Registry.close(Request);
-  if (Closed.Asked) {
-    this->Outcomes.onOutcome(Closed.Asked->Waiter, Outcome);
+  if (Closed.PendingQuery) {
+    this->Outcomes.onOutcome(Closed.PendingQuery->Waiter, Outcome);
     return;
   }
   Job *Target = this->find(Closed.JobKey);
--- a/entry/pool.cpp
+++ b/entry/pool.cpp
@@ -41,8 +41,8 @@
 }
 
 void Pool::addServiceSample(std::chrono::microseconds Seen) {
-  constexpr int Memory = 16;
-  this->Service += (Seen - this->Service) / Memory;
+  constexpr int SmoothingSamples = 16;
+  this->TypicalService += (Seen - this->TypicalService) / SmoothingSamples;
 }
 
 } // namespace yardwheel
--- a/entry/pool.h
+++ b/entry/pool.h
@@ -45,14 +45,16 @@
   void removeTask(UpstreamIndex Upstream, TaskRef Task);
 
   /// Typical service time of a task here, learned from what ended.
-  std::chrono::microseconds typicalService() const { return this->Service; }
+  std::chrono::microseconds typicalService() const {
+    return this->TypicalService;
+  }
   void addServiceSample(std::chrono::microseconds Seen);
 
 private:
   std::map<std::string, std::unique_ptr<RoutePolicy>> Policies;
   std::map<std::string, RetryBudget> Budgets;
   std::vector<std::vector<TaskRef>> Tasks;
-  std::chrono::microseconds Service{300000};
+  std::chrono::microseconds TypicalService{300000};
 };
 
 } // namespace yardwheel
--- a/entry/request_path.cpp
+++ b/entry/request_path.cpp
@@ -111,10 +111,10 @@
   if (!isUtf8(Body))
     return Rejection{HttpStatus::BadRequest, "decode",
                      "body: expected UTF-8 text"};
-  std::string Wrong = fromJson(Body, Document);
-  if (Wrong.empty())
+  std::string Error = fromJson(Body, Document);
+  if (Error.empty())
     return std::nullopt;
-  return Rejection{HttpStatus::BadRequest, "decode", "body: " + Wrong};
+  return Rejection{HttpStatus::BadRequest, "decode", "body: " + Error};
 }
 
 std::optional<Rejection> rejectUnconfigured(const CatalogView &View) {
@@ -129,23 +129,23 @@
 validateSubmission(const api::SubmitRequest &Document,
                    const std::string &Workspace, const CatalogView &View,
                    WallTime Now, std::mt19937_64 &Random, JobRequest &Request) {
-  if (std::optional<Rejection> Early = rejectUnconfigured(View))
-    return Early;
-  const peer::Workspace *Place = View.findWorkspace(Workspace);
-  if (Place == nullptr)
+  if (std::optional<Rejection> Unconfigured = rejectUnconfigured(View))
+    return Unconfigured;
+  const peer::Workspace *Config = View.findWorkspace(Workspace);
+  if (Config == nullptr)
     return Rejection{
         HttpStatus::NotFound, "validate",
         fmt::format("workspace '{}': not found", printable(Workspace))};
-  const peer::Parameters &Limits = Place->parameters();
+  const peer::Parameters &Limits = Config->parameters();
   Request.Workspace = Workspace;
   Request.Repeatable = Document.repeatable();
   Request.Fingerprint = fingerprint(Document);
-  std::optional<Rejection> Wrong = readId(Document, Now, Random, Request);
-  if (!Wrong)
-    Wrong = readTasks(Document, Limits.max_tasks(), Request);
-  if (!Wrong)
-    Wrong = readDeadline(Document, Limits.max_deadline_ms(), Now, Request);
-  return Wrong;
+  std::optional<Rejection> Error = readId(Document, Now, Random, Request);
+  if (!Error)
+    Error = readTasks(Document, Limits.max_tasks(), Request);
+  if (!Error)
+    Error = readDeadline(Document, Limits.max_deadline_ms(), Now, Request);
+  return Error;
 }
 
 } // namespace yardwheel
--- a/ledger/claimant.cpp
+++ b/ledger/claimant.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-ClaimDecision plain(ClaimResult Result) {
+ClaimDecision makeDecision(ClaimResult Result) {
   ClaimDecision Decision;
   Decision.Result = Result;
   return Decision;
@@ -32,9 +32,9 @@
                    ClaimTimes Times, TimePoint Now, bool LikelyHeld)
     : Request(std::move(Request)), Holders(std::move(Holders)),
       Replies(this->Holders.size()), OnlyFirstAsked(LikelyHeld), Times(Times),
-      Deadline(Now + Times.Timeout), NextSend(Now + Times.Resend) {}
+      Deadline(Now + Times.Timeout), NextSend(Now + Times.ResendInterval) {}
 
-void Claimant::ask(PeerSink &Sink) {
+void Claimant::sendRequests(PeerSink &Sink) {
   for (std::size_t I = 0; I < this->Holders.size(); ++I) {
     const std::optional<peer::ClaimReply> &Known = this->Replies[I];
     if (Known && Known->verdict() == peer::CLAIM_GRANTED)
@@ -50,9 +50,10 @@
 void Claimant::release(PeerSink &Sink) const {
   for (std::size_t I = 0; I < this->Holders.size(); ++I) {
     const std::optional<peer::ClaimReply> &Known = this->Replies[I];
-    bool Nothing = (Known && Known->verdict() != peer::CLAIM_GRANTED) ||
-                   (this->OnlyFirstAsked && I > 0) || this->Request.read_only();
-    if (Nothing)
+    bool NothingToRelease =
+        (Known && Known->verdict() != peer::CLAIM_GRANTED) ||
+        (this->OnlyFirstAsked && I > 0) || this->Request.read_only();
+    if (NothingToRelease)
       continue;
     const PeerRef &Holder = this->Holders[I];
     peer::Message Message;
@@ -68,10 +69,11 @@
 std::optional<ClaimDecision> Claimant::onReply(const peer::ClaimReply &Reply,
                                                PeerSink &Sink) {
   // Attempts count anew in each life of an entry.
-  bool Mine = Reply.attempt() == this->Request.attempt() &&
-              Reply.job_key() == this->Request.job_key() &&
-              Reply.asker_incarnation() == this->Request.owner().incarnation();
-  if (!Mine)
+  bool IsForThisClaim =
+      Reply.attempt() == this->Request.attempt() &&
+      Reply.job_key() == this->Request.job_key() &&
+      Reply.asker_incarnation() == this->Request.owner().incarnation();
+  if (!IsForThisClaim)
     return std::nullopt;
   for (std::size_t I = 0; I < this->Holders.size(); ++I) {
     if (this->Holders[I].Node != Reply.holder())
@@ -83,7 +85,7 @@
   }
   if (this->OnlyFirstAsked && Reply.verdict() != peer::CLAIM_HELD) {
     this->OnlyFirstAsked = false;
-    this->ask(Sink);
+    this->sendRequests(Sink);
   }
   return this->decide();
 }
@@ -92,9 +94,9 @@
   if (Now >= this->Deadline)
     return this->decideOnTimeout();
   if (Now >= this->NextSend) {
-    this->NextSend = Now + this->Times.Resend;
+    this->NextSend = Now + this->Times.ResendInterval;
     this->OnlyFirstAsked = false;
-    this->ask(Sink);
+    this->sendRequests(Sink);
   }
   return std::nullopt;
 }
@@ -135,7 +137,7 @@
 
 std::optional<ClaimDecision> Claimant::decide() const {
   if (this->count(peer::CLAIM_GRANTED) >= HolderMajority)
-    return plain(ClaimResult::Won);
+    return makeDecision(ClaimResult::Won);
   std::optional<ClaimDecision> Held = this->decideHeld();
   if (Held)
     return Held;
@@ -152,7 +154,7 @@
   };
   for (const Row &Candidate : Rows)
     if (this->count(Candidate.Verdict) >= HolderMajority)
-      return plain(Candidate.Result);
+      return makeDecision(Candidate.Result);
   return std::nullopt;
 }
 
@@ -160,8 +162,8 @@
   if (const peer::ClaimReply *Held = this->heldReply())
     return makeHeldDecision(*Held);
   if (this->count(peer::CLAIM_CANNOT_KNOW) > 0)
-    return plain(ClaimResult::Unknown);
-  return plain(ClaimResult::Unavailable);
+    return makeDecision(ClaimResult::Unknown);
+  return makeDecision(ClaimResult::Unavailable);
 }
 
 } // namespace yardwheel
--- a/ledger/claimant.h
+++ b/ledger/claimant.h
@@ -50,7 +50,7 @@
 
 struct ClaimTimes {
   std::chrono::milliseconds Timeout{};
-  std::chrono::milliseconds Resend{20};
+  std::chrono::milliseconds ResendInterval{20};
 };
 
 /// The group that a key belongs to. \p GroupCount must not be 0.
@@ -65,7 +65,7 @@
            ClaimTimes Times, TimePoint Now, bool LikelyHeld);
 
   /// Sends the request to every holder that has not granted it.
-  void ask(PeerSink &Sink);
+  void sendRequests(PeerSink &Sink);
   /// Gives every grant back, also those that may be under way.
   void release(PeerSink &Sink) const;
 
--- a/ledger/ledger_holder.cpp
+++ b/ledger/ledger_holder.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-bool names(const peer::HolderGroup &Group, const std::string &Name) {
+bool isHolderOf(const peer::HolderGroup &Group, const std::string &Name) {
   return std::find(Group.holders().begin(), Group.holders().end(), Name) !=
          Group.holders().end();
 }
@@ -22,18 +22,18 @@
 
 void LedgerHolder::setGroups(const CatalogView &View, WallTime Now) {
   for (const auto &[Number, Group] : View.Groups) {
-    if (!names(Group, this->Name)) {
-      this->Seats.erase(Number);
+    if (!isHolderOf(Group, this->Name)) {
+      this->GroupStates.erase(Number);
       continue;
     }
     // Claims granted elsewhere, before this seat was taken, carry stamps of
     // at most one allowance ahead of a clock that differs by another one.
-    auto [Held, New] = this->Seats.try_emplace(Number);
+    auto [State, New] = this->GroupStates.try_emplace(Number);
     if (New)
-      Held->second.RecordsCompleteSince =
+      State->second.RecordsCompleteSince =
           Now + 2 * this->Options.ClockAllowance;
-    Held->second.Epoch = Group.epoch();
-    Held->second.Sealed = Group.sealed();
+    State->second.Epoch = Group.epoch();
+    State->second.Sealed = Group.sealed();
   }
 }
 
@@ -51,11 +51,11 @@
 peer::ClaimVerdict LedgerHolder::evaluate(const peer::ClaimRequest &Request,
                                           WallTime Now,
                                           peer::ClaimReply &Reply) {
-  auto Held = this->Seats.find(Request.group());
-  if (Held == this->Seats.end())
+  auto State = this->GroupStates.find(Request.group());
+  if (State == this->GroupStates.end())
     return peer::CLAIM_WRONG_EPOCH;
-  Reply.set_epoch(Held->second.Epoch);
-  if (Held->second.Sealed || Held->second.Epoch != Request.epoch())
+  Reply.set_epoch(State->second.Epoch);
+  if (State->second.Sealed || State->second.Epoch != Request.epoch())
     return peer::CLAIM_WRONG_EPOCH;
 
   auto Known = this->Records.find(Request.job_key());
@@ -67,7 +67,7 @@
     return peer::CLAIM_HELD;
   }
   if (Known == this->Records.end()) {
-    peer::ClaimVerdict Verdict = this->checkStamp(Request, Held->second, Now);
+    peer::ClaimVerdict Verdict = this->checkStamp(Request, State->second, Now);
     if (Verdict != peer::CLAIM_GRANTED)
       return Verdict;
   }
@@ -84,14 +84,14 @@
 }
 
 peer::ClaimVerdict LedgerHolder::checkStamp(const peer::ClaimRequest &Request,
-                                            const Seat &Held,
+                                            const GroupState &State,
                                             WallTime Now) const {
   WallTime Stamp = fromUnixMillis(Request.stamp_ms());
   if (Stamp > Now + this->Options.ClockAllowance)
     return peer::CLAIM_IN_FUTURE;
   if (Stamp < Now - this->Options.Retention)
     return peer::CLAIM_EXPIRED;
-  if (this->Options.RefuseUnknownPast && Stamp <= Held.RecordsCompleteSince)
+  if (this->Options.RefuseUnknownPast && Stamp <= State.RecordsCompleteSince)
     return peer::CLAIM_CANNOT_KNOW;
   return peer::CLAIM_GRANTED;
 }
@@ -99,12 +99,12 @@
 void LedgerHolder::record(const peer::ClaimRequest &Request) {
   auto [Target, New] = this->Records.try_emplace(Request.job_key());
   if (New)
-    this->Order.push_back(Request.job_key());
+    this->InsertionOrder.push_back(Request.job_key());
   // A late copy of an earlier attempt must not let that attempt's release
   // give the present one back.
-  bool Again = isSameOwner(Target->second.Owner, Request.owner());
+  bool IsSameOwner = isSameOwner(Target->second.Owner, Request.owner());
   std::uint64_t Newest = std::max(Target->second.Attempt, Request.attempt());
-  Target->second.Attempt = Again ? Newest : Request.attempt();
+  Target->second.Attempt = IsSameOwner ? Newest : Request.attempt();
   Target->second.Owner = Request.owner();
   Target->second.Fingerprint = Request.fingerprint();
   Target->second.Stamp = fromUnixMillis(Request.stamp_ms());
@@ -127,14 +127,14 @@
   // An id is refused as expired before its record goes.
   WallTime Limit =
       Now - this->Options.Retention - 2 * this->Options.ClockAllowance;
-  while (!this->Order.empty()) {
-    auto Oldest = this->Records.find(this->Order.front());
+  while (!this->InsertionOrder.empty()) {
+    auto Oldest = this->Records.find(this->InsertionOrder.front());
     if (Oldest != this->Records.end()) {
       if (Oldest->second.Stamp >= Limit)
         return;
       this->Records.erase(Oldest);
     }
-    this->Order.pop_front();
+    this->InsertionOrder.pop_front();
   }
 }
 
--- a/ledger/ledger_holder.h
+++ b/ledger/ledger_holder.h
@@ -47,7 +47,7 @@
   std::size_t size() const { return this->Records.size(); }
 
 private:
-  struct Seat {
+  struct GroupState {
     std::uint64_t Epoch = 0;
     bool Sealed = false;
     /// Ids first submitted before this may have been granted unseen.
@@ -64,15 +64,15 @@
   peer::ClaimVerdict evaluate(const peer::ClaimRequest &Request, WallTime Now,
                               peer::ClaimReply &Reply);
   peer::ClaimVerdict checkStamp(const peer::ClaimRequest &Request,
-                                const Seat &Held, WallTime Now) const;
+                                const GroupState &State, WallTime Now) const;
   void record(const peer::ClaimRequest &Request);
 
   std::string Name;
   LedgerOptions Options;
-  std::unordered_map<std::uint32_t, Seat> Seats;
+  std::unordered_map<std::uint32_t, GroupState> GroupStates;
   std::unordered_map<std::string, Record> Records;
   /// Keys in the order of their arrival, for expiry.
-  std::deque<std::string> Order;
+  std::deque<std::string> InsertionOrder;
 };
 
 } // namespace yardwheel
--- a/tests/ledger/at_most_once_test.cpp
+++ b/tests/ledger/at_most_once_test.cpp
@@ -234,7 +234,7 @@
     JobRequest Job = Cluster.makeJob("job", 30);
     Cluster.submit("e1", Job);
     Cluster.run(50ms);
-    std::size_t Early = Cluster.query(Entry, Job, QueryKind::Look);
+    std::size_t Early = Cluster.query(Entry, Job, QueryKind::Status);
     Cluster.run(50ms);
     CHECK_TRUE(Cluster.answer(Early).Pending);
     std::size_t Cancel = Cluster.query(Entry, Job, QueryKind::Cancel);
@@ -245,7 +245,7 @@
                 Cluster.answer(0).Outcome.failure().kind());
     CHECK_TRUE(Cluster.starts(Job) < 30);
     JobRequest Nobody = Cluster.makeJob("nobody", 1);
-    std::size_t Unknown = Cluster.query(Entry, Nobody, QueryKind::Look);
+    std::size_t Unknown = Cluster.query(Entry, Nobody, QueryKind::Status);
     Cluster.run(1s);
     LONGS_EQUAL(peer::FAILURE_NOT_FOUND,
                 Cluster.answer(Unknown).Outcome.failure().kind());
@@ -315,7 +315,7 @@
     std::size_t Again = Cluster.submit(Entry, Job);
     std::size_t Clash = Cluster.submit(Entry, Other);
     Cluster.run(1s);
-    std::size_t Look = Cluster.query(Entry, Job, QueryKind::Look);
+    std::size_t Look = Cluster.query(Entry, Job, QueryKind::Status);
     Cluster.run(1s);
     for (std::size_t Number : {Again, Look}) {
       const peer::JobFailure &Gone = Cluster.answer(Number).Outcome.failure();
