--- a/entry/answer_path.h
+++ b/entry/answer_path.h
@@ -1,7 +1,7 @@
-//===- entry/answer_path.h - From an outcome to an HTTP answer --*- C++ -*-===//
+//===- entry/answer_path.h - HTTP response for an outcome -------*- C++ -*-===//
 ///
 /// \file
-/// The last filter of the request's path: statuses, words and advice.
+/// The last stage of a request: HTTP status, failure description and advice.
 ///
 //===----------------------------------------------------------------------===//
 #ifndef YARDWHEEL_ENTRY_ANSWER_PATH_H
@@ -15,11 +15,13 @@
 
 namespace yardwheel {
 
-/// \param Outcome Null for a job that is still running.
+/// Returns the HTTP response for a job.
+/// \param Outcome The job's outcome; null if the job is still running.
 HttpAnswer answerFor(const std::string &Workspace, const std::string &Id,
                      const peer::JobOutcome *Outcome);
 
-/// The answer to a submission that a filter has stopped; nothing of it ran.
+/// Returns the HTTP response for a submission that a stage rejected; none of
+/// its tasks ran.
 HttpAnswer answerFor(const std::string &Workspace, const Rejection &Rejected);
 
 } // namespace yardwheel
--- a/entry/attach_registry.cpp
+++ b/entry/attach_registry.cpp
@@ -4,7 +4,7 @@
 
 namespace {
 
-/// The links tell of questions that did not arrive, so this is a last resort.
+/// The links report undelivered messages, so resending is a last resort.
 constexpr std::chrono::milliseconds ResendInterval{2000};
 constexpr std::uint32_t MaxUnansweredSends = 4;
 
@@ -37,7 +37,8 @@
 
 bool AttachRegistry::onReply(const peer::AttachReply &Reply, TimePoint Now) {
   auto Found = this->Requests.find(Reply.ticket());
-  // A reply to an earlier life may carry a number in use again.
+  // Tickets are reused after a restart, so a reply to an earlier incarnation
+  // may carry the ticket of an open request.
   if (Found == this->Requests.end() ||
       Reply.asker_incarnation() != this->Incarnation)
     return false;
--- a/entry/attach_registry.h
+++ b/entry/attach_registry.h
@@ -1,9 +1,9 @@
-//===- entry/attach_registry.h - Requests to owning entries ------*- C++
-//-*-===//
+//===- entry/attach_registry.h - Requests to owning entries -----*- C++ -*-===//
 ///
 /// \file
-/// The asking side of an answer that another entry owns: it asks until it is
-/// answered, and gives up when the owner stays silent or has restarted.
+/// Tracks requests to other entries for the outcomes of jobs that those entries
+/// own. Resends each request until it is answered, and gives up if the owner
+/// doesn't answer or has restarted.
 ///
 //===----------------------------------------------------------------------===//
 #ifndef YARDWHEEL_ENTRY_ATTACH_REGISTRY_H
@@ -26,19 +26,22 @@
   AttachRegistry(std::uint64_t Incarnation, PeerSink &Sink)
       : Incarnation(Incarnation), Sink(Sink) {}
 
-  /// Asks \p Owner for a job. \returns the number of the request.
+  /// Sends a request for the job \p Key to its owner.
+  /// \returns the ticket of the request.
   Ticket open(const std::string &Key, const peer::Owner &Owner,
               std::uint64_t Fingerprint, AttachMode Mode, TimePoint Now);
   void close(Ticket Request) { this->Requests.erase(Request); }
 
-  /// Notes an answer. \returns whether the request is open.
+  /// Records a reply. \returns whether its request is open.
   bool onReply(const peer::AttachReply &Reply, TimePoint Now);
 
-  /// Asks again where due. \returns the requests whose owner stays silent;
-  /// they are closed.
+  /// Resends requests that are due.
+  /// \returns the requests that ran out of resends without an answer; the
+  /// caller closes them.
   std::vector<Ticket> tick(TimePoint Now);
 
-  /// A message to an owner may not have arrived: asks again.
+  /// Handles a message to \p Entry that may not have been delivered: resends
+  /// its requests.
   void onSendFailed(const std::string &Entry, TimePoint Now);
 
   const peer::Owner &ownerOf(Ticket Request) const {
@@ -55,7 +58,7 @@
 
   void send(Request &Target, TimePoint Now);
 
-  /// The life of this entry, which replies must name.
+  /// Incarnation of this entry, which replies must name.
   std::uint64_t Incarnation;
   PeerSink &Sink;
   Ticket LastTicket = 0;
--- a/entry/entry_http.cpp
+++ b/entry/entry_http.cpp
@@ -21,7 +21,7 @@
          Request.Path[1] == "workspaces" && Request.Path[3] == Part;
 }
 
-/// Each of the server's threads makes ids from a generator of its own.
+/// Returns this thread's random generator for ids.
 std::mt19937_64 &threadRandom() {
   thread_local std::mt19937_64 Random{std::random_device{}()};
   return Random;
@@ -128,10 +128,10 @@
   }
   bool IsKnownWorkspace = View->findWorkspace(Workspace) != nullptr;
   if (!IsKnownWorkspace || !isPlainKey(Id)) {
-    Reply->send(answerFor(
-        Workspace,
-        {HttpStatus::NotFound, "validate",
-         IsKnownWorkspace ? "id: not an id" : "workspace: not found"}));
+    Reply->send(
+        answerFor(Workspace, {HttpStatus::NotFound, "validate",
+                              IsKnownWorkspace ? "id: not a valid job id"
+                                               : "workspace: not found"}));
     return;
   }
   Ticket Number = ++this->LastTicket;
@@ -148,7 +148,7 @@
 }
 
 void EntryHttp::tick(TimePoint Now) {
-  // All wait equally long, so the oldest is the first to give up.
+  // All requests have the same timeout, so the oldest one times out first.
   while (!this->WaitOrder.empty()) {
     auto Oldest = this->Waiting.find(this->WaitOrder.front());
     if (Oldest != this->Waiting.end() && Now < Oldest->second.GiveUpAt)
@@ -176,7 +176,7 @@
                    Outcome->failure().step(), Outcome->failure().peer(),
                    Outcome->failure().reason());
   else
-    this->Log.debug("Job {}/{} is answered.", Ended.Workspace, Ended.Id);
+    this->Log.debug("Job {}/{} answered.", Ended.Workspace, Ended.Id);
   Ended.Reply->send(answerFor(Ended.Workspace, Ended.Id, Outcome));
 }
 
--- a/entry/entry_http.h
+++ b/entry/entry_http.h
@@ -1,9 +1,9 @@
-//===- entry/entry_http.h - The callers' interface --------------*- C++ -*-===//
+//===- entry/entry_http.h - HTTP interface for callers ----------*- C++ -*-===//
 ///
 /// \file
-/// HTTP for callers: submissions, later answers, cancellation, health and
-/// metrics. Requests are decoded and validated on the server's threads, from
-/// a view of the configuration that they read without a lock.
+/// HTTP interface for callers: submissions, later queries, cancellation, health
+/// and metrics. The server's threads decode and validate requests, using a view
+/// of the configuration that they read without a lock.
 ///
 //===----------------------------------------------------------------------===//
 #ifndef YARDWHEEL_ENTRY_ENTRY_HTTP_H
@@ -31,19 +31,21 @@
             const JobMetrics &Metrics, const LinkCounters &Links,
             std::string Node, std::chrono::milliseconds WaitTimeout);
 
-  /// Must be called before the first request comes.
+  /// Must be called before the first request arrives.
   void connect(EventLoop &NewLoop, JobService &NewService);
 
   void handle(const HttpRequest &Request,
               std::shared_ptr<HttpReply> Reply) override;
   void onOutcome(Ticket Ticket, const peer::JobOutcome *Outcome) override;
 
-  /// Answers submissions that have waited too long as pending.
+  /// Sends the status "pending" to callers that have waited for the whole wait
+  /// timeout.
   void tick(TimePoint Now);
 
-  /// What /readyz says.
+  /// Sets the state reported by /readyz.
   void setReady(bool NewReady) { this->Ready.store(NewReady); }
-  /// Requests that wait for their outcome; for the loop's thread.
+  /// Returns the number of requests that wait for their outcome. Call only on
+  /// the event loop's thread.
   std::size_t waiting() const { return this->Waiting.size(); }
 
 private:
@@ -73,7 +75,7 @@
   JobService *Service = nullptr;
   std::atomic<bool> Ready{false};
   std::atomic<Ticket> LastTicket{0};
-  /// For the loop's thread.
+  /// Used only on the event loop's thread.
   std::unordered_map<Ticket, Waiter> Waiting;
   std::deque<Ticket> WaitOrder;
 };
--- a/entry/job.h
+++ b/entry/job.h
@@ -1,7 +1,8 @@
 //===- entry/job.h - A job in flight at its entry ---------------*- C++ -*-===//
 ///
 /// \file
-/// The state of one job and of its tasks, and the words for how it failed.
+/// The state of one job and of its tasks, and the typed description of a
+/// failure.
 ///
 //===----------------------------------------------------------------------===//
 #ifndef YARDWHEEL_ENTRY_JOB_H
@@ -20,7 +21,7 @@
 
 namespace yardwheel {
 
-/// Names one wait for an outcome, given by whoever waits.
+/// Identifies one pending wait for an outcome; assigned by the waiting side.
 using Ticket = std::uint64_t;
 
 struct TaskSpec {
@@ -29,24 +30,24 @@
   std::chrono::milliseconds Declared{};
 };
 
-/// A job as it was asked for, after all checks of its form.
+/// A job request that has passed all format checks.
 struct JobRequest {
   std::string Id;
   std::string Workspace;
   WallTime FirstSubmitted;
-  /// The id was made here, so nobody else can have submitted it.
+  /// The entry generated the id, so no other submission can have used it.
   bool HasGeneratedId = false;
   bool Repeatable = false;
   std::uint64_t Fingerprint = 0;
-  /// Time the caller gives the job from now on.
+  /// Time remaining until the caller's deadline.
   std::chrono::milliseconds TimeLeft{};
   std::vector<TaskSpec> Tasks;
 
-  /// The id within its workspace, as the ledger knows it.
+  /// The ledger's key for the job: the workspace and the id.
   std::string key() const { return this->Workspace + "/" + this->Id; }
 
-  /// What may be said of a request that has got no further than its claim: an
-  /// id that came from outside may have been submitted elsewhere.
+  /// Returns what is known about execution while the job isn't claimed: an id
+  /// supplied by the caller may have been submitted through another entry.
   peer::Ran ranBeforeClaim() const {
     return this->HasGeneratedId ? peer::RAN_NOT_RUN : peer::RAN_UNKNOWN;
   }
@@ -61,13 +62,13 @@
   std::uint64_t Freshness = 0;
   std::uint32_t Attempt = 0;
   std::uint32_t UnansweredProbes = 0;
-  /// Its agent was asked to give it back.
+  /// The agent was asked to return the task.
   bool WithdrawRequested = false;
 };
 
 enum class JobPhase : std::uint8_t { Claiming, Attached, Running, Finished };
 
-/// An entry that waits for the outcome on behalf of its own caller.
+/// Another entry that waits for the outcome on behalf of its caller.
 struct RemoteWaiter {
   PeerRef Entry;
   Ticket RemoteTicket = 0;
@@ -86,7 +87,8 @@
   std::vector<TaskState> States;
   std::vector<std::string> Results;
   std::uint32_t DoneCount = 0;
-  /// Tasks sent whose end or non-start is not yet known.
+  /// Number of dispatched tasks that have neither ended nor been reported as
+  /// not started.
   std::uint32_t OutstandingCount = 0;
   bool AnythingRan = false;
 
@@ -95,22 +97,22 @@
   std::vector<Ticket> Waiters;
   std::vector<RemoteWaiter> RemoteWaiters;
   std::optional<peer::JobOutcome> Outcome;
-  /// The claim was given back: the next submission starts afresh.
+  /// The claim was released; the next submission starts from scratch.
   bool Released = false;
-  /// The outcome is kept until then.
+  /// The outcome is retained until this time.
   TimePoint KeepUntil;
-  /// Size of the kept outcome.
+  /// Size of the retained outcome in bytes.
   std::size_t AnswerBytes = 0;
 
   std::chrono::microseconds LongestService{};
   std::chrono::microseconds TotalService{};
   std::uint32_t WastedMessages = 0;
 
-  /// What is known of whether any task ran, for a failure reported now.
+  /// Returns whether any task ran, as far as known, for reporting a failure.
   peer::Ran ran() const;
 };
 
-/// A failure as typed data.
+/// A failure as typed data; converted by failureOutcome().
 struct FailureSpec {
   peer::FailureKind Kind = peer::FAILURE_UNSPECIFIED;
   peer::Ran Ran = peer::RAN_UNSPECIFIED;
@@ -123,9 +125,9 @@
 
 peer::JobOutcome failureOutcome(const FailureSpec &Spec);
 
-/// The id was submitted before with other content.
+/// Failure: the id was submitted before with different content.
 FailureSpec idConflict();
-/// The job has ended and its answer is no longer kept.
+/// Failure: the job has ended and its answer is no longer retained.
 FailureSpec answerExpired();
 
 } // namespace yardwheel
--- a/entry/job_metrics.h
+++ b/entry/job_metrics.h
@@ -1,12 +1,12 @@
-//===- entry/job_metrics.h - Histograms of what jobs took -------*- C++ -*-===//
+//===- entry/job_metrics.h - Metrics of finished jobs -----------*- C++ -*-===//
 ///
 /// \file
-/// Response times and slowdowns for each workspace, class and policy. A
-/// job's class is its size. Slowdown is the response time over the ideal for
-/// the same work: the longest of its tasks, or all of them spread over the
-/// pool's slots, whichever is longer.
+/// Response times and slowdowns for each workspace, job class and policy. The
+/// class is given by the job's size. Slowdown is the response time divided by
+/// the ideal time for the same work: the longest task, or the sum of all tasks
+/// spread over the pool's slots, whichever is longer.
 ///
-/// Written by the loop, read by the threads that answer /metrics.
+/// Written on the event loop's thread; read by the threads that serve /metrics.
 ///
 //===----------------------------------------------------------------------===//
 #ifndef YARDWHEEL_ENTRY_JOB_METRICS_H
@@ -23,10 +23,10 @@
 
 namespace yardwheel {
 
-/// "single" for 1 task, "small" up to 32, "large" beyond.
+/// Returns "single" for 1 task, "small" for up to 32 tasks and "large" beyond.
 const char *jobClass(std::size_t Tasks);
 
-/// The name of a failure in answers and metrics.
+/// Returns the name of a failure kind in responses and metrics.
 const char *failureName(peer::FailureKind Kind);
 
 class JobMetrics final : public JobObserver {
@@ -34,9 +34,9 @@
   void onJobEnded(const Job &Ended, std::uint32_t PoolSlots,
                   TimePoint Now) override;
 
-  /// Everything in Prometheus' text format.
+  /// Returns all metrics in Prometheus' text format.
   std::string text() const;
-  /// What has been seen of one workspace, by policy.
+  /// Returns the statistics of one workspace, by policy.
   api::WorkspaceReport report(const std::string &Workspace,
                               const std::string &Entry) const;
 
--- a/entry/job_runner.cpp
+++ b/entry/job_runner.cpp
@@ -10,13 +10,13 @@
 namespace {
 
 constexpr std::chrono::milliseconds MinRetryDelay{50};
-/// A job lets those pass that come within this many times the least time that
-/// its own work takes when spread over the pool. Found by measurement: less
-/// makes small jobs wait behind large ones, more changes little and would let
+/// Each job may be overtaken by jobs that arrive within this many times the
+/// minimum duration of its own work, spread over the pool. Lower values make
+/// small jobs wait behind large ones. Higher values change little and would let
 /// a large job wait longer under overload.
 constexpr std::int64_t RankDelayFactor = 64;
 
-/// Jobs go by their arrival, put off by their size.
+/// Ranks jobs by arrival time plus a delay that grows with their size.
 JobRank rankOf(const Job &Target, const Pool &TargetPool, TimePoint Now) {
   auto Tasks = static_cast<std::int64_t>(Target.Request.Tasks.size());
   std::int64_t Slots = std::max(TargetPool.Upstreams.aliveSlots(), 1U);
@@ -29,7 +29,7 @@
          Needs.accelerators() != 0;
 }
 
-/// How long until what waits now will have been taken in.
+/// Estimates how long the pool needs to start all tasks that are waiting now.
 std::chrono::milliseconds estimateWait(const Pool &Target) {
   std::uint32_t Slots = std::max(Target.Upstreams.aliveSlots(), 1U);
   auto Wait = Target.typicalService() *
@@ -67,15 +67,16 @@
     if (TargetPool.Upstreams.fitsSomewhere(Target.Request.Tasks[I].Needs))
       continue;
     Refusal.Kind = peer::FAILURE_NEVER_FITS;
-    Refusal.Reason = "no worker of the pool is large enough, even when empty";
+    Refusal.Reason = "no worker in the pool is large enough, even when idle";
     Refusal.Task = static_cast<int>(I);
     return Refusal;
   }
   std::size_t Waiting = TargetPool.Queue.waiting(Target.Request.Workspace);
   if (Waiting + Count > Target.Limits.queue_limit()) {
     Refusal.Kind = peer::FAILURE_LIMIT;
-    Refusal.Reason = fmt::format("{} tasks wait already, queue_limit is {}",
-                                 Waiting, Target.Limits.queue_limit());
+    Refusal.Reason =
+        fmt::format("{} tasks are already waiting; queue_limit is {}", Waiting,
+                    Target.Limits.queue_limit());
     Refusal.RetryAfter = estimateWait(TargetPool);
   }
   return Refusal;
@@ -151,7 +152,7 @@
   return Known;
 }
 
-// ---- Order, route, dispatch ----
+// ---- Ordering, routing and dispatch ----
 
 void JobRunner::schedule(Pool &Target, TimePoint Now) {
   std::map<DispatchKey, peer::Dispatch> Batch;
@@ -193,7 +194,8 @@
   if (!Chosen || !hasResourceNeeds(Needs) ||
       fits(Target.Upstreams.at(*Chosen).Resources, Needs))
     return Chosen;
-  // The policy's choice is too small: take the least loaded that is not.
+  // The policy chose an upstream that is too small for the task: use the least
+  // loaded one that is large enough.
   std::optional<UpstreamIndex> Best;
   for (UpstreamIndex I : Target.Upstreams.eligible()) {
     const Upstream &Candidate = Target.Upstreams.at(I);
@@ -255,7 +257,7 @@
       Target.Upstreams.byTotalFree().pickBest(this->Random);
   if (!Free || Target.Upstreams.eligible().empty())
     return;
-  // A sample keeps the cost independent of the number of upstreams.
+  // Sampling keeps the cost independent of the number of upstreams.
   constexpr int SampleSize = 8;
   const std::vector<UpstreamIndex> &Eligible = Target.Upstreams.eligible();
   std::optional<UpstreamIndex> Longest;
@@ -281,7 +283,7 @@
     return;
   if (!Target.policy(Owner->Policy).movesWaiting())
     return;
-  // A task that was asked about already is not asked again.
+  // Request the withdrawal of each task only once.
   TaskState &Task = Owner->States[Last.Index];
   if (Task.Phase != TaskPhase::Sent || Task.WithdrawRequested)
     return;
@@ -289,7 +291,7 @@
   this->sendWithdraw(*Owner, Upstream, {Last.Index}, /*Probe=*/false);
 }
 
-// ---- Collect ----
+// ---- Task updates ----
 
 void JobRunner::onLoad(const std::string &Agent, const peer::AgentLoad &Load,
                        TimePoint Now) {
@@ -316,11 +318,12 @@
     TaskState &Task = Owner->States[Update.index()];
     bool Outstanding =
         Task.Phase == TaskPhase::Sent || Task.Phase == TaskPhase::Started;
-    // Words of an older send, of another life or of another agent are late.
+    // Ignore updates from an earlier attempt, another incarnation or another
+    // agent.
     bool SameAttempt = Outstanding && Task.Upstream == *Upstream &&
                        Task.Attempt == Update.attempt();
     std::uint64_t AgentIncarnation = Update.load().incarnation();
-    // A later life can only say that it knows nothing of the task.
+    // A later incarnation can only report that it doesn't know the task.
     bool IsLaterIncarnation = AgentIncarnation > Task.Incarnation &&
                               Update.event() == peer::TASK_CANNOT_KNOW;
     if (SameAttempt &&
@@ -374,11 +377,12 @@
                                    Now);
   this->settle(Owner, Index);
   Task.Phase = TaskPhase::Waiting;
-  // The task went out and came back: both messages were for nothing.
+  // The dispatch and its rejection were both wasted.
   Owner.WastedMessages += 2;
   if (Owner.Phase == JobPhase::Finished)
     return;
-  // News that was merely old costs no retry: the answer brought newer.
+  // A rejection for stale load data costs no retry, since the reply carried
+  // newer data.
   if (Update.reason() == StaleNews)
     TargetPool.Queue.push(Owner.Request.Workspace, Owner.Rank, Owner.Number,
                           Index);
@@ -394,7 +398,7 @@
     Failure.Kind = peer::FAILURE_UNAVAILABLE;
     Failure.Step = "dispatch";
     Failure.Reason =
-        fmt::format("retry budget spent; last refusal: {}", Reason);
+        fmt::format("retry budget exhausted; last refusal: {}", Reason);
     Failure.Task = static_cast<int>(Index);
     Failure.RetryAfter = estimateWait(TargetPool);
     this->fail(Owner, Failure, Now);
--- a/entry/job_runner.h
+++ b/entry/job_runner.h
@@ -1,13 +1,13 @@
-//===- entry/job_runner.h - Tasks from an entry to its upstreams --*- C++
-//-*-===//
+//===- entry/job_runner.h - Dispatches tasks to upstreams -------*- C++ -*-===//
 ///
 /// \file
-/// The filters of the request's path between the claim and the answer: admit,
-/// order, route, dispatch, collect. A task is sent again only on proof that
-/// it did not start: silence is never taken for one.
+/// The stages of a request between its claim and its answer: admit, order,
+/// route, dispatch, collect. A task is dispatched again only if its agent has
+/// confirmed that it did not start; missing replies are never taken as such a
+/// confirmation.
 ///
-/// Single-threaded, without sockets or clocks: the daemon's loop, the tests
-/// and the bench all drive the same object.
+/// Single-threaded; uses neither sockets nor clocks. The daemon's event loop,
+/// the tests and the benchmarks all drive this same object.
 ///
 //===----------------------------------------------------------------------===//
 #ifndef YARDWHEEL_ENTRY_JOB_RUNNER_H
@@ -25,29 +25,29 @@
 namespace yardwheel {
 
 struct RunnerOptions {
-  /// An agent that has said nothing of a task for this long is asked. The
-  /// links tell of messages that did not arrive, so this is a last resort.
+  /// A task's agent is probed after it has sent nothing about the task for this
+  /// long. The links report undelivered messages, so this is a last resort.
   std::chrono::milliseconds ProbeTimeout{10000};
-  /// Between two questions that stay without an answer.
+  /// Interval between probes while they remain unanswered.
   std::chrono::milliseconds ProbeInterval{500};
-  /// An agent that leaves this many probes unanswered gets nothing more.
+  /// An agent that leaves this many probes unanswered receives no more tasks.
   std::uint32_t MaxUnansweredProbes = 3;
   /// An upstream that was silent for this long is asked for its load, so that
-  /// dispatches do not rest on news that its agent would refuse as old.
+  /// dispatches don't rely on load data that its agent would reject as stale.
   std::chrono::milliseconds LoadRefreshTimeout{20000};
   EjectionRules Ejection;
   std::uint64_t Seed = 1;
-  /// Off only in tests that show what the rule is for.
+  /// Disabled only in tests that show why the rule is needed.
   bool ResendOnlyOnProof = true;
 };
 
-/// Told of what becomes of jobs.
+/// Receives the results of running jobs.
 class JobEvents {
 public:
   virtual ~JobEvents() = default;
-  /// Every task has its result.
+  /// Called when every task has its result.
   virtual void onComplete(Job &Target, TimePoint Now) = 0;
-  /// The job can no longer get a complete answer.
+  /// Called when the job can no longer complete.
   virtual void onFailed(Job &Target, const FailureSpec &Failure,
                         TimePoint Now) = 0;
 };
@@ -56,15 +56,15 @@
 public:
   JobRunner(RunnerOptions Options, PeerSink &Sink, JobEvents &Events);
 
-  /// Whether a job would be taken now. \returns a failure with an
-  /// unspecified kind if it would.
+  /// Checks whether the job can be accepted now. \returns a failure whose kind
+  /// is unspecified if it can.
   FailureSpec admit(const Job &Target);
 
-  /// Puts a job's tasks in the queue.
+  /// Queues all tasks of a job.
   void start(Job &Target, TimePoint Now);
-  /// Takes back whatever of a job has not ended.
+  /// Withdraws all tasks of a job that have not ended.
   void stop(Job &Target, TimePoint Now);
-  /// Forgets a job whose last task has been accounted for.
+  /// Removes a job that has no outstanding tasks.
   void forget(const Job &Target);
 
   void onMember(const peer::Member &Member, TimePoint Now);
@@ -73,7 +73,8 @@
                 TimePoint Now);
   void onLoad(const std::string &Agent, const peer::AgentLoad &Load,
               TimePoint Now);
-  /// A message to an agent may not have arrived: asks for its tasks.
+  /// Handles a message to \p Agent that may not have been delivered: probes the
+  /// agent's tasks.
   void onSendFailed(const std::string &Agent, TimePoint Now);
   void tick(TimePoint Now);
 
@@ -126,7 +127,7 @@
   struct DueProbe {
     TaskRef Task;
     std::uint32_t Attempt = 0;
-    /// Follows on a question, so that an answer makes it needless.
+    /// Repeats an earlier probe; not needed once that one has been answered.
     bool IsRepeat = false;
   };
 
--- a/entry/job_runner_watch.cpp
+++ b/entry/job_runner_watch.cpp
@@ -1,4 +1,4 @@
-//===- The part of JobRunner that deals with silence and loss -------------===//
+//===- JobRunner: probes, and tasks lost with their agent -----------------===//
 
 #include "entry/job_runner.h"
 
@@ -6,7 +6,7 @@
 
 namespace {
 
-/// Between two questions of an entry that waits and hears from nobody.
+/// Interval of load requests while tasks wait and none are outstanding.
 constexpr std::chrono::milliseconds FreeSlotPollInterval{50};
 
 } // namespace
@@ -56,7 +56,7 @@
 }
 
 void JobRunner::pollForFreeSlots(Pool &Target, TimePoint Now) {
-  // With no task out, no result will tell of slots that fall free.
+  // Without outstanding tasks, no result will report free slots.
   const std::vector<UpstreamIndex> &Eligible = Target.Upstreams.eligible();
   if (Target.Queue.waiting() == 0 || Target.Queue.out() > 0 ||
       Eligible.empty() || Now < this->NextFreeSlotPoll)
@@ -116,7 +116,7 @@
   std::vector<TaskRef> Unconfirmed = TargetPool->tasksAt(*Upstream);
   for (const TaskRef &Ref : Unconfirmed) {
     Job *Owner = this->find(Ref.Job);
-    // One that is being asked about has its next question set already.
+    // A task with an unanswered probe already has its next probe scheduled.
     if (Owner != nullptr && Owner->States[Ref.Index].UnansweredProbes == 0)
       this->probe(*Owner, Ref.Index, Now);
   }
@@ -155,7 +155,7 @@
     Task->set_attempt(Owner.States[Index].Attempt);
     Task->set_freshness(Owner.States[Index].Freshness);
   }
-  // The question and its answer.
+  // Counts the request and its reply.
   Owner.WastedMessages += 2;
   this->Sink.send(TargetPool.Upstreams.at(Upstream).Agent, std::move(Message));
 }
--- a/entry/job_service.cpp
+++ b/entry/job_service.cpp
@@ -23,7 +23,8 @@
   return Failure;
 }
 
-/// Whether a policy's share of an experiment covers this job.
+/// Selects the job's policy: an experiment's arm by the hash of its key, or
+/// else the workspace's default.
 std::string policyFor(const peer::Workspace &Config, const std::string &Key) {
   if (Config.experiment_size() == 0)
     return Config.parameters().policy();
@@ -86,7 +87,7 @@
   return Found == this->Jobs.end() ? nullptr : Found->second.get();
 }
 
-// ---- Validate and claim ----
+// ---- Validation and claims ----
 
 void JobService::submit(JobRequest Request, Ticket Waiter, Instant Now) {
   Job *Known = this->find(Request.key());
@@ -105,7 +106,8 @@
     return;
   }
   Job &Target = this->addJob(std::move(Request), Waiter, Now);
-  // Nobody else can hold an id made here, so a refusal needs no claim.
+  // No other entry can hold a generated id, so rejecting the job needs no
+  // claim.
   if (Target.Request.HasGeneratedId) {
     FailureSpec Admission = this->Runner.admit(Target);
     if (Admission.Kind != peer::FAILURE_UNSPECIFIED) {
@@ -178,7 +180,8 @@
                                                       Instant Now) const {
   peer::Ran Ran = Request.ranBeforeClaim();
   if (this->Draining)
-    return unavailable("admit", "the entry is stopping; use another", Ran);
+    return unavailable("admit", "the entry is shutting down; use another entry",
+                       Ran);
   if (!this->isConfirmed(Now.Steady))
     return unavailable("admit", "control has not confirmed the configuration",
                        Ran);
@@ -206,7 +209,7 @@
   this->Deadlines.emplace(New->Deadline, Key);
   ++this->ActiveJobs;
   std::unique_ptr<Job> &Slot = this->Jobs[Key];
-  // A job that was given back leaves its place to the new submission.
+  // A released job is replaced by the new submission.
   if (Slot)
     this->KeptBytes -= Slot->AnswerBytes;
   Slot = std::move(New);
@@ -253,7 +256,8 @@
   ClaimTimes Times = this->Options.Claims;
   Times.Timeout = std::chrono::duration_cast<std::chrono::milliseconds>(
       Claim.GiveUpAt - Now.Steady);
-  // An id that is older than a submission takes has been here before.
+  // An id that is older than a submission takes to arrive was probably
+  // submitted before.
   WallTime Stamp = fromUnixMillis(StampMs);
   bool LikelyHeld = Claim.PendingQuery || Now.Wall - Stamp > ResubmissionAge;
   Claim.Claim.emplace(std::move(Request), std::move(Holders), Times, Now.Steady,
@@ -280,7 +284,8 @@
     return;
   PendingClaim Claim = std::move(Found->second);
   this->Claims.erase(Found);
-  // The holders have moved on: ask again, by then with their epoch.
+  // The holders are in another epoch: retry the claim, by then with their
+  // epoch.
   bool MayRetry = Now.Steady + EpochRetryDelay < Claim.GiveUpAt;
   if (Decision.Result == ClaimResult::WrongEpoch && MayRetry) {
     std::int64_t Stamp = Claim.Claim->request().stamp_ms();
@@ -308,7 +313,7 @@
     this->onWon(Target, Claim, Now);
     return;
   }
-  // What was granted is given back before anything else is done.
+  // Release the granted claims first.
   if (Claim.Claim)
     Claim.Claim->release(this->Sink);
   if (Decision.Result == ClaimResult::Held) {
@@ -335,7 +340,7 @@
 void JobService::onWon(Job &Target, PendingClaim &Claim, Instant Now) {
   FailureSpec Admission = this->Runner.admit(Target);
   if (Admission.Kind != peer::FAILURE_UNSPECIFIED) {
-    // This entry is the only owner, so that "not run" is true.
+    // This entry is the only owner, so reporting "not run" is correct.
     Claim.Claim->release(this->Sink);
     this->finishReleased(Target, Admission, Now.Steady);
     return;
--- a/entry/job_service.h
+++ b/entry/job_service.h
@@ -1,11 +1,12 @@
-//===- entry/job_service.h - Jobs from submission to answer -----*- C++ -*-===//
+//===- entry/job_service.h - Jobs from submission to response ---*- C++ -*-===//
 ///
 /// \file
-/// The core of an entry. It claims each job at the ledger before anything
-/// starts, runs the jobs it owns through JobRunner, asks other owners for the
-/// rest, and gives every caller the whole outcome of its own request.
+/// The core of an entry. It claims each job in the ledger before any task
+/// starts, runs the jobs that it owns through JobRunner, requests the outcome
+/// of other jobs from their owners, and gives every caller the complete outcome
+/// of its request.
 ///
-/// Single-threaded, without sockets or clocks.
+/// Single-threaded; uses neither sockets nor clocks.
 ///
 //===----------------------------------------------------------------------===//
 #ifndef YARDWHEEL_ENTRY_JOB_SERVICE_H
@@ -27,7 +28,7 @@
 
 namespace yardwheel {
 
-/// Hears how requests end.
+/// Receives the outcomes of requests.
 class OutcomeSink {
 public:
   virtual ~OutcomeSink() = default;
@@ -35,11 +36,12 @@
   virtual void onOutcome(Ticket Ticket, const peer::JobOutcome *Outcome) = 0;
 };
 
-/// Hears of every job that this entry has run, for metrics.
+/// Receives every job that this entry has run, for metrics.
 class JobObserver {
 public:
   virtual ~JobObserver() = default;
-  /// \param PoolSlots Slots of the job's pool, for its ideal time.
+  /// \param PoolSlots Number of slots in the job's pool, for computing its
+  /// ideal response time.
   virtual void onJobEnded(const Job &Ended, std::uint32_t PoolSlots,
                           TimePoint Now) = 0;
 };
@@ -51,10 +53,11 @@
   ClaimTimes Claims;
   std::chrono::milliseconds MaxUnconfirmed{};
   std::uint32_t MaxJobs = 0;
-  /// Answers kept, in bytes; beyond it the oldest are given up early.
+  /// Maximum total size of the retained answers, in bytes. Beyond it, the
+  /// oldest answers are dropped early.
   std::size_t MaxAnswerBytes = SIZE_MAX;
   RunnerOptions Runner;
-  /// Off only in tests that show what the ledger is for.
+  /// Disabled only in tests that show why the ledger is needed.
   bool ClaimsFirst = true;
 };
 
@@ -67,10 +70,10 @@
 
   void setCatalog(std::shared_ptr<const CatalogView> View);
   void onMember(const peer::Member &Member, TimePoint Now);
-  /// Control has confirmed the configuration held here.
+  /// Records that control confirmed the configuration in use here.
   void confirm(TimePoint Now) { this->LastConfirmed = Now; }
   bool isConfirmed(TimePoint Now) const;
-  /// From now on, new jobs are refused.
+  /// Rejects all new jobs from now on.
   void drain() { this->Draining = true; }
   bool isDraining() const { return this->Draining; }
 
@@ -79,14 +82,14 @@
              Instant Now);
   void onMessage(const PeerRef &From, const peer::Message &Message,
                  Instant Now);
-  /// A message to a peer may not have arrived.
+  /// Handles a message to \p Peer that may not have been delivered.
   void onSendFailed(const std::string &Peer, Instant Now) {
     this->Runner.onSendFailed(Peer, Now.Steady);
     this->Registry.onSendFailed(Peer, Now.Steady);
   }
   void tick(Instant Now);
 
-  /// Jobs whose callers wait, and tasks not yet accounted for.
+  /// Returns the number of jobs that have no outcome yet.
   std::size_t inFlight() const { return this->ActiveJobs; }
   const JobRunner &runner() const { return this->Runner; }
 
@@ -102,7 +105,7 @@
   };
   struct PendingClaim {
     std::optional<Claimant> Claim;
-    /// Set where a job is claimed, else the claim serves a query.
+    /// Set when the claim is for a job; otherwise it serves a query.
     std::string JobKey;
     std::optional<Query> PendingQuery;
     TimePoint GiveUpAt;
@@ -148,7 +151,8 @@
 
   void cancel(Job &Target, Instant Now);
   void finish(Job &Target, peer::JobOutcome Outcome, TimePoint Now);
-  /// Finishes a job that starts nothing and whose record is of no more use.
+  /// Finishes a job that this entry won't run and whose record need not be
+  /// kept.
   void finishReleased(Job &Target, const FailureSpec &Failure, TimePoint Now);
   void keepAnswer(Job &Target, TimePoint Now);
   void dropOldestAnswers(TimePoint Now);
@@ -170,7 +174,8 @@
 
   std::unordered_map<std::string, std::unique_ptr<Job>> Jobs;
   EndedJobs Ended;
-  /// Kept answers in the order in which their jobs ended, and their bytes.
+  /// Keys of retained answers in the order in which their jobs ended, and the
+  /// total size of those answers.
   std::deque<std::string> KeptAnswers;
   std::size_t KeptBytes = 0;
   std::map<std::uint64_t, PendingClaim> Claims;
--- a/entry/job_service_answers.cpp
+++ b/entry/job_service_answers.cpp
@@ -1,4 +1,4 @@
-//===- The part of JobService that ends jobs and keeps answers ------------===//
+//===- JobService: ends jobs and retains answers --------------------------===//
 
 #include "entry/job_service.h"
 
@@ -10,7 +10,7 @@
 
 } // namespace
 
-// ---- Answer ----
+// ---- Finishing jobs and retaining answers ----
 
 void JobService::onComplete(Job &Target, TimePoint Now) {
   peer::JobOutcome Outcome;
@@ -133,7 +133,7 @@
     this->expire(Key, Now);
   }
   this->dropOldestAnswers(Now);
-  // Keys of jobs that expired in time are of no more use.
+  // Drop the keys of jobs that have already expired.
   while (!this->KeptAnswers.empty() &&
          this->find(this->KeptAnswers.front()) == nullptr)
     this->KeptAnswers.pop_front();
@@ -144,14 +144,14 @@
   if (Target == nullptr || Target->Phase != JobPhase::Finished ||
       Now < Target->KeepUntil)
     return;
-  // Tasks that are still out must find their job.
+  // Updates for outstanding tasks must still find their job.
   if (Target->OutstandingCount > 0) {
     this->Expiries.emplace(Now + ExpiryRetryDelay, Key);
     return;
   }
   TimePoint Forget = Target->Submitted + this->Options.LedgerRetention +
                      2 * this->Options.ClockAllowance;
-  // The id stays known as used for as long as the ledger knows it.
+  // Remember the id as used for as long as the ledger does.
   if (!Target->Released)
     this->Ended.add(Key, Target->Request.Fingerprint, Forget);
   this->Runner.forget(*Target);
--- a/entry/job_service_peers.cpp
+++ b/entry/job_service_peers.cpp
@@ -1,4 +1,4 @@
-//===- The part of JobService that talks with other processes -------------===//
+//===- JobService: messages from and to other processes -------------------===//
 
 #include "entry/job_service.h"
 
@@ -37,7 +37,7 @@
   }
 }
 
-// ---- Questions about a job ----
+// ---- Queries from callers ----
 
 void JobService::query(const std::string &Key, QueryKind Kind, Ticket Waiter,
                        Instant Now) {
@@ -89,7 +89,7 @@
   this->Outcomes.onOutcome(PendingQuery.Waiter, &Outcome);
 }
 
-// ---- The owner's side ----
+// ---- Requests from other entries ----
 
 void JobService::onAttachRequest(const PeerRef &From,
                                  const peer::AttachRequest &Request,
@@ -132,8 +132,8 @@
   };
   bool Listed = std::any_of(Known->RemoteWaiters.begin(),
                             Known->RemoteWaiters.end(), IsSame);
-  // Who waits hears of the end; only who looks, or asks again, is told that
-  // there is none yet.
+  // A waiting entry is sent the outcome when the job ends. Only an entry that
+  // peeks or that repeats its request is told that the job is still pending.
   if (!Request.peek() && !Listed) {
     Known->RemoteWaiters.push_back(Asker);
     return;
@@ -142,7 +142,8 @@
 }
 
 void JobService::releaseStaleGrant(const std::string &Key) {
-  // A lost release left a grant behind; nothing was or will be started.
+  // The release of an earlier claim was lost, so the grant remained. No task
+  // was or will be started.
   PendingClaim Claim;
   Claim.JobKey = Key;
   Instant Unused{};
@@ -162,7 +163,7 @@
   this->Sink.send(To.Entry, std::move(Message));
 }
 
-// ---- The asking side ----
+// ---- Replies from owning entries ----
 
 void JobService::onAttachReply(const peer::AttachReply &Reply, Instant Now) {
   auto Found = this->Attaches.find(Reply.ticket());
@@ -190,7 +191,7 @@
     Failure.Reason = "the id was submitted before with other content";
   } else {
     Failure.Kind = peer::FAILURE_PEER_LOST;
-    Failure.Reason = "the entry that owned the job no longer knows it";
+    Failure.Reason = "the entry that owned the job has no record of it";
     Failure.RetryAfter = std::chrono::seconds(1);
   }
   peer::JobOutcome Outcome = failureOutcome(Failure);
@@ -210,7 +211,7 @@
   if (Target == nullptr || Target->Phase != JobPhase::Attached ||
       Outcome == nullptr)
     return;
-  // The owner keeps the answer; nothing is kept here.
+  // The owner retains the answer, so no copy is kept here.
   Target->Released = true;
   this->finish(*Target, *Outcome, Now);
 }
--- a/entry/pool.h
+++ b/entry/pool.h
@@ -1,9 +1,9 @@
-//===- entry/pool.h - The upstreams and the queue of one pool -----*- C++
-//-*-===//
+//===- entry/pool.h - Upstreams and queue of one pool -----------*- C++ -*-===//
 ///
 /// \file
-/// Everything an entry holds for one pool of upstreams: its view of them, the
-/// tasks that wait, the policies in use, and which of our tasks is where.
+/// The state that an entry keeps for one pool of upstreams: the upstream table,
+/// the queued tasks, the policies in use, and which of this entry's tasks is at
+/// which upstream.
 ///
 //===----------------------------------------------------------------------===//
 #ifndef YARDWHEEL_ENTRY_POOL_H
@@ -21,7 +21,7 @@
 
 namespace yardwheel {
 
-/// A task of a job in flight.
+/// Refers to one task of a running job.
 struct TaskRef {
   JobNumber Job = 0;
   std::uint32_t Index = 0;
@@ -33,18 +33,18 @@
   UpstreamTable Upstreams;
   FairQueue Queue;
 
-  /// The policy of that name, made when first asked for.
+  /// Returns the policy \p Name, created on first use.
   RoutePolicy &policy(const std::string &Name);
-  /// Whether any policy in use moves tasks that wait at agents.
+  /// Returns whether any policy in use withdraws tasks that wait at agents.
   bool movesWaiting() const;
   RetryBudget &budget(const std::string &Workspace);
 
-  /// Tasks of this entry at an upstream, in the order they were sent.
+  /// Returns this entry's tasks at an upstream, in dispatch order.
   const std::vector<TaskRef> &tasksAt(UpstreamIndex Upstream);
   void addTask(UpstreamIndex Upstream, TaskRef Task);
   void removeTask(UpstreamIndex Upstream, TaskRef Task);
 
-  /// Typical service time of a task here, learned from what ended.
+  /// Returns the moving average of the service times of ended tasks.
   std::chrono::microseconds typicalService() const {
     return this->TypicalService;
   }
--- a/entry/request_path.cpp
+++ b/entry/request_path.cpp
@@ -13,7 +13,7 @@
 namespace {
 
 constexpr std::uint32_t MaxDeclaredMs = 3600000;
-/// About the time in which an entry that starts is told of its configuration.
+/// Roughly the time that a starting entry needs to receive its configuration.
 constexpr std::chrono::milliseconds UnconfiguredRetryDelay{1000};
 
 Rejection reject(std::string Reason) {
@@ -25,8 +25,8 @@
       google::protobuf::util::TimeUtil::TimestampToMilliseconds(Time));
 }
 
-/// Hash of what a resubmission must repeat: the tasks and the mark, not the
-/// deadline, which a client may set anew.
+/// Hashes what a resubmission must repeat: the tasks and the repeatable flag.
+/// The deadline is excluded because a client may change it.
 std::uint64_t fingerprint(const api::SubmitRequest &Document) {
   std::uint64_t Hash = combineHash(0, Document.repeatable() ? 1 : 0);
   for (const api::TaskSpec &Task : Document.tasks()) {
@@ -121,7 +121,7 @@
   if (View.Revision > 0)
     return std::nullopt;
   return Rejection{HttpStatus::Unavailable, "validate",
-                   "this entry has not heard of its configuration yet",
+                   "this entry has not received its configuration yet",
                    UnconfiguredRetryDelay};
 }
 
--- a/entry/request_path.h
+++ b/entry/request_path.h
@@ -1,7 +1,7 @@
-//===- entry/request_path.h - A request's way through an entry --*- C++ -*-===//
+//===- entry/request_path.h - Stages of a job request -----------*- C++ -*-===//
 ///
 /// \file
-/// The filters that a submission passes, in order:
+/// The stages that a submission passes through, in order:
 ///
 ///   1. decode    decodeSubmission()       here: JSON to a typed document
 ///   2. validate  validateSubmission()     here: bounds, names, times
@@ -13,8 +13,8 @@
 ///   8. collect   JobRunner::onUpdate()    entry/job_runner.h
 ///   9. answer    answerFor()              entry/answer_path.h
 ///
-/// Filters 1, 2 and 9 run on the HTTP server's threads or need no state; the
-/// rest run on the loop, behind JobService, which joins them.
+/// Stages 1, 2 and 9 run on the HTTP server's threads or are stateless. The
+/// other stages run on the event loop, driven by JobService.
 ///
 //===----------------------------------------------------------------------===//
 #ifndef YARDWHEEL_ENTRY_REQUEST_PATH_H
@@ -31,25 +31,28 @@
 
 namespace yardwheel {
 
-/// A submission that a filter has stopped.
+/// Describes why a stage rejected a submission.
 struct Rejection {
   HttpStatus Status = HttpStatus::BadRequest;
   std::string Step;
-  /// Names the field and the bound.
+  /// The invalid field and the expected bounds.
   std::string Reason;
-  /// When to come back; 0 where it would be rejected again.
+  /// Delay before a retry; 0 if a retry would be rejected again.
   std::chrono::milliseconds RetryAfter{};
 };
 
-/// Filter 1. \returns a rejection if \p Body is no submission.
+/// Stage 1: parses the JSON text \p Body into \p Document.
+/// \returns a rejection if \p Body is not a valid submission.
 std::optional<Rejection> decodeSubmission(const std::string &Body,
                                           api::SubmitRequest &Document);
 
-/// Rejects whatever names a workspace until the configuration is known:
-/// a workspace that has not been heard of may well exist.
+/// Rejects requests that name a workspace until the entry has received its
+/// configuration. Until then, an unknown workspace may still exist.
 std::optional<Rejection> rejectUnconfigured(const CatalogView &View);
 
-/// Filter 2. Fills \p Request, or returns a rejection.
+/// Stage 2: checks \p Document against the workspace's limits and fills \p
+/// Request.
+/// \returns a rejection if a check fails.
 std::optional<Rejection>
 validateSubmission(const api::SubmitRequest &Document,
                    const std::string &Workspace, const CatalogView &View,
--- a/ledger/claimant.cpp
+++ b/ledger/claimant.cpp
@@ -68,7 +68,7 @@
 
 std::optional<ClaimDecision> Claimant::onReply(const peer::ClaimReply &Reply,
                                                PeerSink &Sink) {
-  // Attempts count anew in each life of an entry.
+  // Attempt numbers restart with each incarnation of an entry.
   bool IsForThisClaim =
       Reply.attempt() == this->Request.attempt() &&
       Reply.job_key() == this->Request.job_key() &&
@@ -79,7 +79,7 @@
     if (this->Holders[I].Node != Reply.holder())
       continue;
     std::optional<peer::ClaimReply> &Known = this->Replies[I];
-    // A grant stands until this claim gives it back.
+    // A grant remains valid until this claim releases it.
     if (!Known || Known->verdict() != peer::CLAIM_GRANTED)
       Known = Reply;
   }
--- a/ledger/claimant.h
+++ b/ledger/claimant.h
@@ -1,10 +1,10 @@
 //===- ledger/claimant.h - An entry's claim on a job id ---------*- C++ -*-===//
 ///
 /// \file
-/// One claim, from its first message to its decision. It asks the three
-/// holders of the id's group and decides on the word of two. When claims of
-/// several entries split the holders, all but the one whose name sorts first
-/// give theirs back, so one of them wins.
+/// One claim, from its first message to its decision. It asks the three holders
+/// of the id's group and decides by majority. If claims from several entries
+/// split the holders, every claimant except the one whose entry name sorts
+/// first releases its grants, so that one of them wins.
 ///
 //===----------------------------------------------------------------------===//
 #ifndef YARDWHEEL_LEDGER_CLAIMANT_H
@@ -21,24 +21,24 @@
 
 namespace yardwheel {
 
-/// Holders of one group; a majority of them decides.
+/// Number of holders per group; a majority of them decides.
 constexpr std::size_t HoldersPerGroup = 3;
 constexpr std::size_t HolderMajority = 2;
 
 enum class ClaimResult {
   /// This entry owns the job.
   Won,
-  /// Another entry owns it, or is the only one that still may.
+  /// Another entry owns the job, or is the only one that still may.
   Held,
-  /// The holders cannot know whether the job ran.
+  /// The holders can't tell whether the job ran.
   Unknown,
   Expired,
   InFuture,
-  /// Nobody has claimed the id; only for read-only claims.
+  /// No entry has claimed the id; only for read-only claims.
   Absent,
-  /// Too few holders answered in time.
+  /// Too few holders replied in time.
   Unavailable,
-  /// The holders have another epoch; try again with newer configuration.
+  /// The holders are in another epoch; retry with a newer configuration.
   WrongEpoch,
 };
 
@@ -53,25 +53,27 @@
   std::chrono::milliseconds ResendInterval{20};
 };
 
-/// The group that a key belongs to. \p GroupCount must not be 0.
+/// Returns the group that a key belongs to. \p GroupCount must not be 0.
 std::uint32_t groupOf(const std::string &JobKey, std::uint32_t GroupCount);
 
 class Claimant {
 public:
-  /// \param Holders The group's holders whose addresses are known.
-  /// \param LikelyHeld The id was probably claimed before: one holder is asked
-  /// first, and its word of an owner is enough to ask that owner.
+  /// \param Holders The group's holders with known addresses.
+  /// \param LikelyHeld The id was probably claimed before: only the first
+  /// holder is asked at first. If it names an owner, that reply is enough to
+  /// decide.
   Claimant(peer::ClaimRequest Request, std::vector<PeerRef> Holders,
            ClaimTimes Times, TimePoint Now, bool LikelyHeld);
 
   /// Sends the request to every holder that has not granted it.
   void sendRequests(PeerSink &Sink);
-  /// Gives every grant back, also those that may be under way.
+  /// Releases all grants, including those whose replies may still be in flight.
   void release(PeerSink &Sink) const;
 
   std::optional<ClaimDecision> onReply(const peer::ClaimReply &Reply,
                                        PeerSink &Sink);
-  /// Resends and, after the timeout, decides on what is known.
+  /// Resends requests that are due. After the timeout, decides from the replies
+  /// received so far.
   std::optional<ClaimDecision> onTick(TimePoint Now, PeerSink &Sink);
 
   const peer::ClaimRequest &request() const { return this->Request; }
@@ -88,7 +90,7 @@
   std::vector<PeerRef> Holders;
   /// The newest reply of each holder, in the order of Holders.
   std::vector<std::optional<peer::ClaimReply>> Replies;
-  /// Only the first holder has been asked.
+  /// Only the first holder has been asked so far.
   bool OnlyFirstAsked;
   ClaimTimes Times;
   TimePoint Deadline;
--- a/ledger/ledger_holder.cpp
+++ b/ledger/ledger_holder.cpp
@@ -26,8 +26,9 @@
       this->GroupStates.erase(Number);
       continue;
     }
-    // Claims granted elsewhere, before this seat was taken, carry stamps of
-    // at most one allowance ahead of a clock that differs by another one.
+    // Ids claimed before this holder joined the group may be stamped up to one
+    // clock allowance ahead, by a clock that differs from this one by another
+    // allowance.
     auto [State, New] = this->GroupStates.try_emplace(Number);
     if (New)
       State->second.RecordsCompleteSince =
@@ -73,7 +74,7 @@
   }
   if (Request.read_only())
     return peer::CLAIM_ABSENT;
-  // A late copy of a claim that was given back must not bring it to life.
+  // A delayed duplicate of a released claim must not claim the id again.
   if (Known != this->Records.end() &&
       Request.attempt() <= Known->second.Attempt &&
       Known->second.Owner.entry().empty() &&
@@ -100,8 +101,8 @@
   auto [Target, New] = this->Records.try_emplace(Request.job_key());
   if (New)
     this->InsertionOrder.push_back(Request.job_key());
-  // A late copy of an earlier attempt must not let that attempt's release
-  // give the present one back.
+  // A delayed duplicate of an earlier attempt must not lower the recorded
+  // attempt, or that attempt's release would release the current claim.
   bool IsSameOwner = isSameOwner(Target->second.Owner, Request.owner());
   std::uint64_t Newest = std::max(Target->second.Attempt, Request.attempt());
   Target->second.Attempt = IsSameOwner ? Newest : Request.attempt();
@@ -118,13 +119,14 @@
   if (!isSameOwner(Target.Owner, Release.owner()) ||
       Target.Attempt > Release.attempt())
     return;
-  // The incarnation and the attempt stay, to know late copies by.
+  // Keep the incarnation and the attempt to recognise delayed duplicates.
   Target.Owner.clear_entry();
   Target.Attempt = Release.attempt();
 }
 
 void LedgerHolder::expire(WallTime Now) {
-  // An id is refused as expired before its record goes.
+  // Records outlive the retention, so that ids are rejected as expired before
+  // their records are removed.
   WallTime Limit =
       Now - this->Options.Retention - 2 * this->Options.ClockAllowance;
   while (!this->InsertionOrder.empty()) {
--- a/ledger/ledger_holder.h
+++ b/ledger/ledger_holder.h
@@ -1,14 +1,14 @@
-//===- ledger/ledger_holder.h - One vote on who owns a job ------*- C++ -*-===//
+//===- ledger/ledger_holder.h - Holder of the job ledger --------*- C++ -*-===//
 ///
 /// \file
-/// A ledger holder keeps, in memory only, which entry owns which job id. A
-/// claim is won by the grants of a majority of the three holders of the id's
-/// group.
+/// A ledger holder records, in memory only, which entry owns which job id. A
+/// claim succeeds if a majority of the three holders of the id's group grant
+/// it.
 ///
-/// A holder that has lost its memory must not grant an id that it may have
-/// granted before. Ids carry their first submission, so it grants only those
-/// stamped after it came to hold its seat, plus twice the clock allowance;
-/// about older ones it answers that it cannot know.
+/// A holder that has lost its memory must not grant an id that it may already
+/// have granted. Each id carries the time of its first submission, so a holder
+/// only grants ids that were first submitted after it joined the group, plus
+/// twice the clock allowance. For older ids it replies that it can't know.
 ///
 //===----------------------------------------------------------------------===//
 #ifndef YARDWHEEL_LEDGER_LEDGER_HOLDER_H
@@ -27,7 +27,7 @@
 struct LedgerOptions {
   std::chrono::milliseconds Retention{};
   std::chrono::milliseconds ClockAllowance{};
-  /// Off only in tests that show what the rule is for.
+  /// Disabled only in tests that show why the rule is needed.
   bool RefuseUnknownPast = true;
 };
 
@@ -35,13 +35,14 @@
 public:
   LedgerHolder(std::string Name, LedgerOptions Options);
 
-  /// Takes the groups that are in force; call it with every new revision.
+  /// Applies the groups of a configuration revision. Must be called for every
+  /// new revision.
   void setGroups(const CatalogView &View, WallTime Now);
 
   peer::ClaimReply onClaim(const peer::ClaimRequest &Request, WallTime Now);
   void onRelease(const peer::ClaimRelease &Release);
 
-  /// Forgets ids older than the retention.
+  /// Removes the records of ids whose retention has ended.
   void expire(WallTime Now);
 
   std::size_t size() const { return this->Records.size(); }
@@ -50,11 +51,12 @@
   struct GroupState {
     std::uint64_t Epoch = 0;
     bool Sealed = false;
-    /// Ids first submitted before this may have been granted unseen.
+    /// Ids first submitted up to this time may have been granted without a
+    /// record here.
     WallTime RecordsCompleteSince;
   };
   struct Record {
-    /// Empty entry name: the claim was given back.
+    /// An empty entry name means that the claim was released.
     peer::Owner Owner;
     std::uint64_t Fingerprint = 0;
     std::uint64_t Attempt = 0;
@@ -71,7 +73,7 @@
   LedgerOptions Options;
   std::unordered_map<std::uint32_t, GroupState> GroupStates;
   std::unordered_map<std::string, Record> Records;
-  /// Keys in the order of their arrival, for expiry.
+  /// Keys in order of insertion, for expiry.
   std::deque<std::string> InsertionOrder;
 };
 
--- a/tests/entry/request_path_test.cpp
+++ b/tests/entry/request_path_test.cpp
@@ -1,7 +1,7 @@
 #include "entry/answer_path.h"
 #include "entry/request_path.h"
 
-// Last: it redefines new.
+// Must come last because it redefines new.
 #include <CppUTest/TestHarness.h>
 
 using namespace yardwheel;
@@ -18,8 +18,8 @@
   }
 };
 
-// An entry that has just started has heard of no workspace at all.
-TEST(RequestPathTest, WithoutAConfigurationNoWorkspaceIsSaidToBeMissing) {
+// An entry that has just started does not know any workspace yet.
+TEST(RequestPathTest, UnconfiguredEntryRejectsAsUnavailable) {
   Rejection Found = validate();
   CHECK(Found.Status == HttpStatus::Unavailable);
   HttpAnswer Answer = answerFor("bids", Found);
@@ -27,7 +27,7 @@
   STRCMP_CONTAINS("\"ran\":\"unknown\"", Answer.Body.c_str());
 }
 
-TEST(RequestPathTest, WithOneAMissingWorkspaceIsNotFound) {
+TEST(RequestPathTest, ConfiguredEntryReportsUnknownWorkspaceAsNotFound) {
   View.Revision = 1;
   CHECK(validate().Status == HttpStatus::NotFound);
 }
--- a/tests/ledger/at_most_once_fuzz_test.cpp
+++ b/tests/ledger/at_most_once_fuzz_test.cpp
@@ -1,8 +1,8 @@
 //===- Random faults on random submissions, for many seeds ----------------===//
 ///
-/// Entries and agents under loss, doubling, reordering, cuts, freezes, kills
-/// and restarts. A failing seed is printed; running the test with that seed
-/// alone replays it.
+/// Runs entries and agents under message loss, duplication, reordering,
+/// partitions, freezes, kills and restarts. A failing seed is printed; running
+/// the test with only that seed replays it.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -58,21 +58,21 @@
 }
 
 struct Run {
-  std::uint32_t Doubles = 0;
+  std::uint32_t DoubleStarts = 0;
   std::uint32_t Complete = 0;
   std::size_t Unanswered = 0;
   std::string Violation;
 };
 
-/// One random story of ten seconds, and time to end it.
-Run runSeed(std::uint64_t Seed, bool Mechanisms) {
+/// Runs one random scenario of about ten seconds, then gives it time to finish.
+Run runSeed(std::uint64_t Seed, bool UseMechanisms) {
   ClusterOptions Options;
   Options.Seed = Seed;
   Options.Entries = 3;
   Options.Agents = 4;
   Options.Tick = 20ms;
-  Options.ClaimsFirst = Mechanisms;
-  Options.ResendOnlyOnProof = Mechanisms;
+  Options.ClaimsFirst = UseMechanisms;
+  Options.ResendOnlyOnProof = UseMechanisms;
   const char *Policies[] = {"slot_borrow", "late_binding", "two_choices",
                             "slot_share"};
   Options.Policy = Policies[Seed % 4];
@@ -85,7 +85,7 @@
     if (Random() % 3 == 0)
       Jobs.push_back(
           Cluster.makeJob(fmt::format("job{}", Step), 1 + Random() % 6));
-    // Any job so far may be submitted again, anywhere.
+    // Resubmit a random earlier job at a random entry.
     if (!Jobs.empty() && Random() % 2 == 0) {
       std::string Entry = VirtualCluster::nodeName('e', 1 + Random() % 3);
       Numbers.push_back(Cluster.submit(Entry, Jobs[Random() % Jobs.size()]));
@@ -102,12 +102,12 @@
   }
   Cluster.run(30s);
   Run Result;
-  Result.Doubles = Cluster.doubleStarts();
+  Result.DoubleStarts = Cluster.doubleStarts();
   Result.Violation = Cluster.violation();
   Result.Unanswered = Cluster.unanswered();
   for (std::size_t Number : Numbers) {
-    const Answer &Heard = Cluster.answer(Number);
-    Result.Complete += Heard.Outcome.complete() ? 1 : 0;
+    const Answer &Received = Cluster.answer(Number);
+    Result.Complete += Received.Outcome.complete() ? 1 : 0;
   }
   return Result;
 }
@@ -122,18 +122,18 @@
   for (std::uint64_t Seed = Seeds.First; Seed <= Seeds.Last; ++Seed) {
     Run Result = runSeed(Seed, true);
     std::string Name = fmt::format("seed {}", Seed);
-    LONGS_EQUAL_TEXT(0, Result.Doubles, Name.c_str());
+    LONGS_EQUAL_TEXT(0, Result.DoubleStarts, Name.c_str());
     STRCMP_EQUAL_TEXT("", Result.Violation.c_str(), Name.c_str());
     LONGS_EQUAL_TEXT(0, Result.Unanswered, Name.c_str());
     Complete += Result.Complete;
   }
-  // A cluster that refused everything would prove nothing.
+  // A cluster that rejects every job would pass without proving anything.
   CHECK_TRUE(Complete > (Seeds.Last - Seeds.First) * 3);
 }
 
-TEST(AtMostOnceFuzzTest, TheCheckerCatchesAPlantedFault) {
+TEST(AtMostOnceFuzzTest, DoubleStartsAreDetectedWithoutTheMechanisms) {
   std::uint32_t Caught = 0;
   for (std::uint64_t Seed = 1; Seed <= 40; ++Seed)
-    Caught += runSeed(Seed, false).Doubles > 0 ? 1 : 0;
+    Caught += runSeed(Seed, false).DoubleStarts > 0 ? 1 : 0;
   CHECK_TRUE(Caught > 20);
 }
--- a/tests/ledger/at_most_once_test.cpp
+++ b/tests/ledger/at_most_once_test.cpp
@@ -1,8 +1,8 @@
-//===- Each failure that could start a task twice, caused on purpose ------===//
+//===- Provokes each failure that could start a task twice ----------------===//
 ///
-/// Every scenario runs twice: with the mechanism that guards against it off,
-/// where a task must be seen to start twice (or an answer to be wrong), and
-/// with everything on, where it must not.
+/// Every scenario runs twice: with the mechanism that guards against it
+/// disabled, where a task must be seen to start twice (or an answer to be
+/// wrong), and with all mechanisms enabled, where this must not happen.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -16,14 +16,14 @@
 
 namespace {
 
-void sameMoment(VirtualCluster &Cluster) {
+void submitSimultaneously(VirtualCluster &Cluster) {
   JobRequest Job = Cluster.makeJob("job", 3);
   Cluster.submit("e1", Job);
   Cluster.submit("e2", Job);
   Cluster.run(3s);
 }
 
-void whileRunning(VirtualCluster &Cluster) {
+void resubmitWhileRunning(VirtualCluster &Cluster) {
   JobRequest Job = Cluster.makeJob("job", 3);
   Cluster.submit("e1", Job);
   Cluster.run(50ms);
@@ -31,7 +31,7 @@
   Cluster.run(3s);
 }
 
-void afterEnd(VirtualCluster &Cluster) {
+void resubmitAfterEnd(VirtualCluster &Cluster) {
   JobRequest Job = Cluster.makeJob("job", 3);
   Cluster.submit("e1", Job);
   Cluster.run(3s);
@@ -39,7 +39,7 @@
   Cluster.run(3s);
 }
 
-void ownerKilled(VirtualCluster &Cluster) {
+void killOwner(VirtualCluster &Cluster) {
   JobRequest Job = Cluster.makeJob("job", 3);
   Cluster.submit("e1", Job);
   Cluster.run(50ms);
@@ -48,11 +48,12 @@
   Cluster.run(10s);
 }
 
-void holderRestarts(VirtualCluster &Cluster) {
+void restartTwoHolders(VirtualCluster &Cluster) {
   JobRequest Job = Cluster.makeJob("job", 3);
   Cluster.submit("e1", Job);
   Cluster.run(1s);
-  // One of the two whose grants decided, and the third never asked anew.
+  // Restarts one of the two holders whose grants decided the claim, and the
+  // third holder, which is not asked again.
   Cluster.restart("a1");
   Cluster.restart("a2");
   Cluster.run(500ms);
@@ -60,7 +61,7 @@
   Cluster.run(5s);
 }
 
-void everythingRestarts(VirtualCluster &Cluster) {
+void restartAllProcesses(VirtualCluster &Cluster) {
   JobRequest Job = Cluster.makeJob("job", 3);
   Cluster.submit("e1", Job);
   Cluster.run(1s);
@@ -71,7 +72,7 @@
   Cluster.run(5s);
 }
 
-void agentKilled(VirtualCluster &Cluster) {
+void killAgent(VirtualCluster &Cluster) {
   JobRequest Job = Cluster.makeJob("job", 6);
   Cluster.submit("e1", Job);
   Cluster.run(50ms);
@@ -79,7 +80,7 @@
   Cluster.run(15s);
 }
 
-void agentFrozen(VirtualCluster &Cluster) {
+void freezeAgent(VirtualCluster &Cluster) {
   JobRequest Job = Cluster.makeJob("job", 6);
   Cluster.submit("e1", Job);
   Cluster.run(50ms);
@@ -89,24 +90,26 @@
   Cluster.run(5s);
 }
 
-/// Holds the first dispatch to each agent back for longer than anything else
+/// Delays the first dispatch by \p Delay, which is longer than anything else
 /// may take.
-void dispatchLate(VirtualCluster &Cluster, Duration Late) {
+void delayFirstDispatch(VirtualCluster &Cluster, Duration Delay) {
   int Held = 0;
-  Cluster.World.setFilter([Held, Late](const PeerRef &, const PeerRef &,
-                                       const peer::Message &Message) mutable {
+  Cluster.World.setFilter([Held, Delay](const PeerRef &, const PeerRef &,
+                                        const peer::Message &Message) mutable {
     bool First = Message.has_dispatch() && Held == 0;
     Held += First ? 1 : 0;
-    return First ? Late : Duration(0);
+    return First ? Delay : Duration(0);
   });
   JobRequest Job = Cluster.makeJob("job", 1);
   Cluster.submit("e1", Job);
-  Cluster.run(Late + 10s);
+  Cluster.run(Delay + 10s);
 }
 
-void dispatchVeryLate(VirtualCluster &Cluster) { dispatchLate(Cluster, 40s); }
+void delayFirstDispatchBy40s(VirtualCluster &Cluster) {
+  delayFirstDispatch(Cluster, 40s);
+}
 
-void everythingDoubled(VirtualCluster &Cluster) {
+void duplicateAllMessages(VirtualCluster &Cluster) {
   NetworkFaults Faults;
   Faults.DoublePermille = 1000;
   Faults.Jitter = 300ms;
@@ -119,34 +122,36 @@
 struct Scenario {
   const char *Name;
   void (*Run)(VirtualCluster &Cluster);
-  /// The mechanism that guards against it.
+  /// The mechanism that prevents the double start.
   bool ClusterOptions::*Mechanism;
 };
 
 const Scenario Scenarios[] = {
-    {"two entries at the same moment", sameMoment,
+    {"two entries at the same moment", submitSimultaneously,
+     &ClusterOptions::ClaimsFirst},
+    {"resubmitted while it runs", resubmitWhileRunning,
+     &ClusterOptions::ClaimsFirst},
+    {"resubmitted after its end", resubmitAfterEnd,
      &ClusterOptions::ClaimsFirst},
-    {"resubmitted while it runs", whileRunning, &ClusterOptions::ClaimsFirst},
-    {"resubmitted after its end", afterEnd, &ClusterOptions::ClaimsFirst},
-    {"owner killed, resubmitted elsewhere", ownerKilled,
+    {"owner killed, resubmitted elsewhere", killOwner,
      &ClusterOptions::ClaimsFirst},
-    {"two holders restarted", holderRestarts,
+    {"two holders restarted", restartTwoHolders,
      &ClusterOptions::RefuseUnknownPast},
-    {"every process restarted", everythingRestarts,
+    {"every process restarted", restartAllProcesses,
      &ClusterOptions::RefuseUnknownPast},
-    {"agent killed in mid-task", agentKilled,
+    {"agent killed mid-task", killAgent, &ClusterOptions::ResendOnlyOnProof},
+    {"agent frozen and thawed", freezeAgent,
      &ClusterOptions::ResendOnlyOnProof},
-    {"agent frozen and woken", agentFrozen, &ClusterOptions::ResendOnlyOnProof},
-    {"dispatch delivered late", dispatchVeryLate,
+    {"dispatch delivered late", delayFirstDispatchBy40s,
      &ClusterOptions::FencesOldDispatches},
-    {"every message doubled", everythingDoubled,
+    {"every message duplicated", duplicateAllMessages,
      &ClusterOptions::RemembersTasks},
 };
 
 ClusterOptions scenarioOptions() {
   ClusterOptions Options;
   Options.Seed = 11;
-  // A fourth agent holds no seat of the ledger.
+  // The fourth agent isn't a ledger holder.
   Options.Agents = 4;
   return Options;
 }
@@ -176,8 +181,9 @@
   }
 }
 
-TEST(AtMostOnceTest, BothSubmittersHearTheSameWholeAnswer) {
-  for (auto Run : {sameMoment, whileRunning, afterEnd}) {
+TEST(AtMostOnceTest, BothSubmittersReceiveTheSameCompleteAnswer) {
+  for (auto Run :
+       {submitSimultaneously, resubmitWhileRunning, resubmitAfterEnd}) {
     VirtualCluster Cluster(ClusterOptions{});
     Cluster.settle();
     Run(Cluster);
@@ -189,8 +195,8 @@
   }
 }
 
-TEST(AtMostOnceTest, WhatCannotBeKnownIsSaidSo) {
-  for (auto Run : {ownerKilled, everythingRestarts}) {
+TEST(AtMostOnceTest, UnknowableExecutionIsReportedAsUnknown) {
+  for (auto Run : {killOwner, restartAllProcesses}) {
     VirtualCluster Cluster(ClusterOptions{});
     Cluster.settle();
     Run(Cluster);
@@ -275,9 +281,10 @@
   LONGS_EQUAL(15, Cluster.starts(Job));
 }
 
-TEST(AtMostOnceTest, AnAnswerToAnEarlierLifeReachesNobodyElse) {
-  // Found by seed 1953 of the random stories: numbers of requests begin anew
-  // in each life of an entry, so a late answer met another job's number.
+TEST(AtMostOnceTest, RepliesToAnEarlierIncarnationAreIgnored) {
+  // Tickets restart with each incarnation of an entry, so a late reply to an
+  // earlier incarnation could carry the ticket of another job's request. Seed
+  // 1953 of the fuzz test found this.
   VirtualCluster Cluster(ClusterOptions{});
   Cluster.settle();
   JobRequest First = Cluster.makeJob("first", 2);
@@ -302,37 +309,38 @@
   STRCMP_EQUAL("other#0", Cluster.answer(Number).Outcome.results(0).c_str());
 }
 
-TEST(AtMostOnceTest, AJobWhoseAnswerIsGoneIsSaidSoAndNeverRunsAgain) {
+TEST(AtMostOnceTest, AJobWithAnExpiredAnswerIsReportedAndNeverRunsAgain) {
   VirtualCluster Cluster(ClusterOptions{});
   Cluster.settle();
   JobRequest Job = Cluster.makeJob("job", 2);
   JobRequest Other = Job;
   Other.Fingerprint += 1;
   Cluster.submit("e1", Job);
-  // Answers are kept for 5 s there, ids for a minute.
+  // The cluster retains answers for 5 s and ids for a minute.
   Cluster.run(8s);
   for (const char *Entry : {"e1", "e2"}) {
     std::size_t Again = Cluster.submit(Entry, Job);
-    std::size_t Clash = Cluster.submit(Entry, Other);
+    std::size_t Conflict = Cluster.submit(Entry, Other);
     Cluster.run(1s);
-    std::size_t Look = Cluster.query(Entry, Job, QueryKind::Status);
+    std::size_t Status = Cluster.query(Entry, Job, QueryKind::Status);
     Cluster.run(1s);
-    for (std::size_t Number : {Again, Look}) {
-      const peer::JobFailure &Gone = Cluster.answer(Number).Outcome.failure();
+    for (std::size_t Number : {Again, Status}) {
+      const peer::JobFailure &Expired =
+          Cluster.answer(Number).Outcome.failure();
       LONGS_EQUAL_TEXT(
-          peer::FAILURE_EXPIRED, Gone.kind(),
+          peer::FAILURE_EXPIRED, Expired.kind(),
           fmt::format("{} {}: {}", Entry, Number,
                       Cluster.answer(Number).Outcome.ShortDebugString())
               .c_str());
-      LONGS_EQUAL(peer::RAN_SOMETHING, Gone.ran());
+      LONGS_EQUAL(peer::RAN_SOMETHING, Expired.ran());
     }
     LONGS_EQUAL(peer::FAILURE_CONFLICT,
-                Cluster.answer(Clash).Outcome.failure().kind());
+                Cluster.answer(Conflict).Outcome.failure().kind());
   }
   LONGS_EQUAL(2, Cluster.starts(Job));
 }
 
-TEST(AtMostOnceTest, TheOldestAnswersGoFirstWhenTheyTakeTooMuchMemory) {
+TEST(AtMostOnceTest, TheOldestAnswersAreDroppedFirstAtTheMemoryLimit) {
   ClusterOptions Options;
   Options.MaxAnswerBytes = 600;
   VirtualCluster Cluster(Options);
@@ -353,9 +361,10 @@
     LONGS_EQUAL(10, Cluster.starts(Job));
 }
 
-TEST(AtMostOnceTest, ARefusalBeforeTheClaimWouldLieAndTheCheckerSeesIt) {
-  // An id from outside is claimed before a limit may say "not run". Passing
-  // it off as made here skips the claim, which is the naive order.
+TEST(AtMostOnceTest, RejectingBeforeTheClaimIsDetectedAsAFalseNotRun) {
+  // An id supplied by the caller must be claimed before a limit may reject the
+  // job as "not run". Marking the id as generated skips the claim, as a naive
+  // implementation would.
   for (bool Naive : {true, false}) {
     ClusterOptions Options;
     Options.QueueLimit = 20;
--- a/tests/ledger/ledger_holder_test.cpp
+++ b/tests/ledger/ledger_holder_test.cpp
@@ -52,7 +52,7 @@
   void setup() override { Holder.setGroups(viewWith(1, false), Start); }
 };
 
-TEST(LedgerHolderTest, JudgesByStampEpochAndRecord) {
+TEST(LedgerHolderTest, DecidesByStampEpochAndRecord) {
   struct Row {
     const char *Name;
     std::int64_t StampOffsetMs;
@@ -61,10 +61,10 @@
   };
   const Row Table[] = {
       {"fresh", 1000, 1, peer::CLAIM_GRANTED},
-      {"within the allowance ahead", 1100, 1, peer::CLAIM_GRANTED},
+      {"ahead within the clock allowance", 1100, 1, peer::CLAIM_GRANTED},
       {"in the future", 1101, 1, peer::CLAIM_IN_FUTURE},
-      {"before it knew", 200, 1, peer::CLAIM_CANNOT_KNOW},
-      {"just after it knew", 201, 1, peer::CLAIM_GRANTED},
+      {"before records are complete", 200, 1, peer::CLAIM_CANNOT_KNOW},
+      {"just after records are complete", 201, 1, peer::CLAIM_GRANTED},
       {"too old", -9001, 1, peer::CLAIM_EXPIRED},
       {"other epoch", 1000, 2, peer::CLAIM_WRONG_EPOCH},
   };
@@ -78,7 +78,7 @@
   }
 }
 
-TEST(LedgerHolderTest, GrantsOnceAndAgainToTheSameOwner) {
+TEST(LedgerHolderTest, GrantsAgainOnlyToTheSameOwner) {
   LONGS_EQUAL(peer::CLAIM_GRANTED,
               Holder.onClaim(request("k", "e1", 1, Later), Later).verdict());
   LONGS_EQUAL(peer::CLAIM_GRANTED,
@@ -88,9 +88,10 @@
   STRCMP_EQUAL("e1", Other.owner().entry().c_str());
 }
 
-TEST(LedgerHolderTest, OnlyTheOwnersNewestReleaseCounts) {
+TEST(LedgerHolderTest, OnlyTheOwnersNewestReleaseTakesEffect) {
   Holder.onClaim(request("k", "e1", 5, Later), Later);
-  // A late copy of an earlier attempt must not make its release count.
+  // A delayed duplicate of an earlier attempt must not make that attempt's
+  // release effective.
   Holder.onClaim(request("k", "e1", 3, Later), Later);
   Holder.onRelease(release("k", "e1", 3));
   LONGS_EQUAL(peer::CLAIM_HELD,
@@ -111,22 +112,22 @@
               Holder.onClaim(request("k", "e1", 1, Later), Later).verdict());
 }
 
-TEST(LedgerHolderTest, ASeatTakenAgainKnowsNothingOfItsPast) {
+TEST(LedgerHolderTest, RejoiningAGroupDiscardsEarlierKnowledge) {
   Holder.setGroups(viewWith(2, false, "other"), Later);
-  WallTime Back = Later + std::chrono::seconds(2);
-  Holder.setGroups(viewWith(1, false), Back);
+  WallTime Rejoined = Later + std::chrono::seconds(2);
+  Holder.setGroups(viewWith(1, false), Rejoined);
   LONGS_EQUAL(peer::CLAIM_CANNOT_KNOW,
-              Holder.onClaim(request("k", "e1", 1, Later), Back).verdict());
+              Holder.onClaim(request("k", "e1", 1, Later), Rejoined).verdict());
 }
 
-TEST(LedgerHolderTest, ReadingRecordsNothing) {
-  peer::ClaimRequest Look = request("k", "e1", 1, Later);
-  Look.set_read_only(true);
-  LONGS_EQUAL(peer::CLAIM_ABSENT, Holder.onClaim(Look, Later).verdict());
+TEST(LedgerHolderTest, ReadOnlyClaimsAreNotRecorded) {
+  peer::ClaimRequest ReadOnly = request("k", "e1", 1, Later);
+  ReadOnly.set_read_only(true);
+  LONGS_EQUAL(peer::CLAIM_ABSENT, Holder.onClaim(ReadOnly, Later).verdict());
   LONGS_EQUAL(0, Holder.size());
 }
 
-TEST(LedgerHolderTest, ForgetsOnlyWhatIsRefusedAsExpired) {
+TEST(LedgerHolderTest, RemovesRecordsOnlyOnceTheirIdsAreExpired) {
   Holder.onClaim(request("k", "e1", 1, Later), Later);
   WallTime Edge = Later + Retention + 2 * Allowance;
   Holder.expire(Edge);
