--- a/entry/entry_http.cpp
+++ b/entry/entry_http.cpp
@@ -21,7 +21,7 @@
          Request.Path[1] == "workspaces" && Request.Path[3] == Part;
 }
 
-/// Each of the server's threads makes ids from a generator of its own.
+/// Returns this thread's random generator for ids.
 std::mt19937_64 &threadRandom() {
   thread_local std::mt19937_64 Random{std::random_device{}()};
   return Random;
@@ -61,7 +61,7 @@
                      "expected POST");
   } else if (isUnder(Request, "jobs", JobDepth)) {
     if (Request.Method == HttpMethod::Get)
-      this->query(Request, QueryKind::Look, Reply);
+      this->query(Request, QueryKind::Status, Reply);
     else if (Request.Method == HttpMethod::Delete)
       this->query(Request, QueryKind::Cancel, Reply);
     else
@@ -109,8 +109,8 @@
   }
   Ticket Number = ++this->LastTicket;
   this->Loop->post([this, Job = std::move(Job), Reply, Number](Instant Now) {
-    this->wait(Number,
-               {Reply, Job.Workspace, Job.Id, Now.Steady + this->WaitTimeout});
+    this->addWaiter(
+        Number, {Reply, Job.Workspace, Job.Id, Now.Steady + this->WaitTimeout});
     this->Service->submit(Job, Number, Now);
   });
 }
@@ -122,34 +122,36 @@
   if (std::optional<JobId> Uuid = parseUuidV7(Id))
     Id = Uuid->Key;
   auto View = this->Catalog.view();
-  if (std::optional<Rejection> Early = rejectUnconfigured(*View)) {
-    Reply->send(answerFor(Workspace, *Early));
+  if (std::optional<Rejection> Unconfigured = rejectUnconfigured(*View)) {
+    Reply->send(answerFor(Workspace, *Unconfigured));
     return;
   }
-  bool KnownPlace = View->findWorkspace(Workspace) != nullptr;
-  if (!KnownPlace || !isPlainKey(Id)) {
-    Reply->send(answerFor(
-        Workspace, {HttpStatus::NotFound, "validate",
-                    KnownPlace ? "id: not an id" : "workspace: not found"}));
+  bool IsKnownWorkspace = View->findWorkspace(Workspace) != nullptr;
+  if (!IsKnownWorkspace || !isPlainKey(Id)) {
+    Reply->send(
+        answerFor(Workspace, {HttpStatus::NotFound, "validate",
+                              IsKnownWorkspace ? "id: not a valid job id"
+                                               : "workspace: not found"}));
     return;
   }
   Ticket Number = ++this->LastTicket;
   this->Loop->post([this, Workspace, Id, Kind, Reply, Number](Instant Now) {
-    this->wait(Number, {Reply, Workspace, Id, Now.Steady + this->WaitTimeout});
+    this->addWaiter(Number,
+                    {Reply, Workspace, Id, Now.Steady + this->WaitTimeout});
     this->Service->query(Workspace + "/" + Id, Kind, Number, Now);
   });
 }
 
-void EntryHttp::wait(Ticket Number, Waiter New) {
+void EntryHttp::addWaiter(Ticket Number, Waiter New) {
   this->Waiting[Number] = std::move(New);
   this->WaitOrder.push_back(Number);
 }
 
 void EntryHttp::tick(TimePoint Now) {
-  // All wait equally long, so the oldest is the first to give up.
+  // All requests have the same timeout, so the oldest one times out first.
   while (!this->WaitOrder.empty()) {
     auto Oldest = this->Waiting.find(this->WaitOrder.front());
-    if (Oldest != this->Waiting.end() && Now < Oldest->second.GiveUp)
+    if (Oldest != this->Waiting.end() && Now < Oldest->second.GiveUpAt)
       return;
     if (Oldest != this->Waiting.end())
       this->onOutcome(Oldest->first, nullptr);
@@ -174,7 +176,7 @@
                    Outcome->failure().step(), Outcome->failure().peer(),
                    Outcome->failure().reason());
   else
-    this->Log.debug("Job {}/{} is answered.", Ended.Workspace, Ended.Id);
+    this->Log.debug("Job {}/{} answered.", Ended.Workspace, Ended.Id);
   Ended.Reply->send(answerFor(Ended.Workspace, Ended.Id, Outcome));
 }
 
--- a/entry/job_metrics.cpp
+++ b/entry/job_metrics.cpp
@@ -7,13 +7,13 @@
 
 namespace {
 
-constexpr std::size_t SmallJob = 32;
+constexpr std::size_t MaxSmallJobTasks = 32;
 constexpr int ResponseBins = 50;
-constexpr double ResponseLowMs = 1;
-constexpr double ResponseHighMs = 100000;
+constexpr double MinResponseMs = 1;
+constexpr double MaxResponseMs = 100000;
 constexpr int SlowdownBins = 120;
-constexpr double SlowdownLow = 1;
-constexpr double SlowdownHigh = 1000;
+constexpr double MinSlowdown = 1;
+constexpr double MaxSlowdown = 1000;
 constexpr double MicrosPerMilli = 1000;
 
 } // namespace
@@ -21,7 +21,7 @@
 const char *jobClass(std::size_t Tasks) {
   if (Tasks <= 1)
     return "single";
-  return Tasks <= SmallJob ? "small" : "large";
+  return Tasks <= MaxSmallJobTasks ? "small" : "large";
 }
 
 const char *failureName(peer::FailureKind Kind) {
@@ -54,8 +54,8 @@
 }
 
 JobMetrics::Series JobMetrics::makeSeries() {
-  return {LogHistogram(ResponseBins, ResponseLowMs, ResponseHighMs),
-          LogHistogram(SlowdownBins, SlowdownLow, SlowdownHigh),
+  return {LogHistogram(ResponseBins, MinResponseMs, MaxResponseMs),
+          LogHistogram(SlowdownBins, MinSlowdown, MaxSlowdown),
           0,
           0,
           0,
@@ -67,7 +67,7 @@
   std::size_t Tasks = Ended.States.size();
   Key Labels{Ended.Request.Workspace, jobClass(Tasks), Ended.Policy};
   std::lock_guard Lock(this->Mutex);
-  auto Found = this->All.try_emplace(Labels, makeSeries()).first;
+  auto Found = this->SeriesByKey.try_emplace(Labels, makeSeries()).first;
   Series &Target = Found->second;
   ++Target.Jobs;
   Target.Tasks += Tasks;
@@ -89,7 +89,7 @@
   std::lock_guard Lock(this->Mutex);
   std::string Text = "# TYPE yardwheel_response_ms histogram\n"
                      "# TYPE yardwheel_slowdown histogram\n";
-  for (const auto &[Labels, Source] : this->All) {
+  for (const auto &[Labels, Source] : this->SeriesByKey) {
     std::string Common =
         fmt::format("workspace=\"{}\",class=\"{}\",policy=\"{}\"",
                     Labels.Workspace, Labels.Class, Labels.Policy);
@@ -116,7 +116,7 @@
   };
   std::lock_guard Lock(this->Mutex);
   std::map<std::string, Arm> Arms;
-  for (const auto &[Labels, Source] : this->All) {
+  for (const auto &[Labels, Source] : this->SeriesByKey) {
     if (Labels.Workspace != Workspace)
       continue;
     auto Found =
--- a/entry/job_runner.cpp
+++ b/entry/job_runner.cpp
@@ -9,33 +9,33 @@
 
 namespace {
 
-constexpr std::chrono::milliseconds ShortestRetryAfter{50};
-/// A job lets those pass that come within this many times the least time that
-/// its own work takes when spread over the pool. Found by measurement: less
-/// makes small jobs wait behind large ones, more changes little and would let
+constexpr std::chrono::milliseconds MinRetryDelay{50};
+/// Each job may be overtaken by jobs that arrive within this many times the
+/// minimum duration of its own work, spread over the pool. Lower values make
+/// small jobs wait behind large ones. Higher values change little and would let
 /// a large job wait longer under overload.
-constexpr std::int64_t Patience = 64;
+constexpr std::int64_t RankDelayFactor = 64;
 
-/// Jobs go by their arrival, put off by their size.
-JobRank rankOf(const Job &Target, const Pool &Place, TimePoint Now) {
+/// Ranks jobs by arrival time plus a delay that grows with their size.
+JobRank rankOf(const Job &Target, const Pool &TargetPool, TimePoint Now) {
   auto Tasks = static_cast<std::int64_t>(Target.Request.Tasks.size());
-  std::int64_t Slots = std::max(Place.Upstreams.aliveSlots(), 1U);
-  std::int64_t Spread = Place.typicalService().count() * Tasks / Slots;
-  return Now.time_since_epoch().count() + Patience * Spread;
+  std::int64_t Slots = std::max(TargetPool.Upstreams.aliveSlots(), 1U);
+  std::int64_t Spread = TargetPool.typicalService().count() * Tasks / Slots;
+  return Now.time_since_epoch().count() + RankDelayFactor * Spread;
 }
 
-bool needsAnything(const peer::Resources &Needs) {
+bool hasResourceNeeds(const peer::Resources &Needs) {
   return Needs.cpus() != 0 || Needs.memory_mb() != 0 ||
          Needs.accelerators() != 0;
 }
 
-/// How long until what waits now will have been taken in.
-std::chrono::milliseconds expectedWait(const Pool &Target) {
+/// Estimates how long the pool needs to start all tasks that are waiting now.
+std::chrono::milliseconds estimateWait(const Pool &Target) {
   std::uint32_t Slots = std::max(Target.Upstreams.aliveSlots(), 1U);
   auto Wait = Target.typicalService() *
               static_cast<std::int64_t>(Target.Queue.waiting()) / Slots;
   return std::max(std::chrono::ceil<std::chrono::milliseconds>(Wait),
-                  ShortestRetryAfter);
+                  MinRetryDelay);
 }
 
 } // namespace
@@ -62,21 +62,22 @@
     Refusal.RetryAfter = std::chrono::seconds(1);
     return Refusal;
   }
-  Pool &Place = Found->second;
+  Pool &TargetPool = Found->second;
   for (std::size_t I = 0; I < Count; ++I) {
-    if (Place.Upstreams.fitsSomewhere(Target.Request.Tasks[I].Needs))
+    if (TargetPool.Upstreams.fitsSomewhere(Target.Request.Tasks[I].Needs))
       continue;
     Refusal.Kind = peer::FAILURE_NEVER_FITS;
-    Refusal.Reason = "no worker of the pool is large enough, even when empty";
+    Refusal.Reason = "no worker in the pool is large enough, even when idle";
     Refusal.Task = static_cast<int>(I);
     return Refusal;
   }
-  std::size_t Waiting = Place.Queue.waiting(Target.Request.Workspace);
+  std::size_t Waiting = TargetPool.Queue.waiting(Target.Request.Workspace);
   if (Waiting + Count > Target.Limits.queue_limit()) {
     Refusal.Kind = peer::FAILURE_LIMIT;
-    Refusal.Reason = fmt::format("{} tasks wait already, queue_limit is {}",
-                                 Waiting, Target.Limits.queue_limit());
-    Refusal.RetryAfter = expectedWait(Place);
+    Refusal.Reason =
+        fmt::format("{} tasks are already waiting; queue_limit is {}", Waiting,
+                    Target.Limits.queue_limit());
+    Refusal.RetryAfter = estimateWait(TargetPool);
   }
   return Refusal;
 }
@@ -86,26 +87,27 @@
   this->NumberOfKey[Target.Request.key()] = Target.Number;
   Target.States.assign(Target.Request.Tasks.size(), {});
   Target.Results.assign(Target.Request.Tasks.size(), {});
-  Pool &Place = this->Pools[Target.PoolName];
-  Target.Rank = rankOf(Target, Place, Now);
+  Pool &TargetPool = this->Pools[Target.PoolName];
+  Target.Rank = rankOf(Target, TargetPool, Now);
   const std::string &Workspace = Target.Request.Workspace;
-  Place.Queue.configure(Workspace, Target.Limits.weight(),
-                        Target.Limits.capacity());
+  TargetPool.Queue.configure(Workspace, Target.Limits.weight(),
+                             Target.Limits.capacity());
   for (std::uint32_t I = 0; I < Target.States.size(); ++I)
-    Place.Queue.push(Workspace, Target.Rank, Target.Number, I);
-  this->schedule(Place, Now);
+    TargetPool.Queue.push(Workspace, Target.Rank, Target.Number, I);
+  this->schedule(TargetPool, Now);
 }
 
 void JobRunner::stop(Job &Target, TimePoint Now) {
-  Pool &Place = this->Pools[Target.PoolName];
-  Place.Queue.removeJob(Target.Request.Workspace, Target.Rank, Target.Number);
-  std::map<UpstreamIndex, std::vector<std::uint32_t>> Out;
+  Pool &TargetPool = this->Pools[Target.PoolName];
+  TargetPool.Queue.removeJob(Target.Request.Workspace, Target.Rank,
+                             Target.Number);
+  std::map<UpstreamIndex, std::vector<std::uint32_t>> Outstanding;
   for (std::uint32_t I = 0; I < Target.States.size(); ++I) {
     const TaskState &Task = Target.States[I];
     if (Task.Phase == TaskPhase::Sent || Task.Phase == TaskPhase::Started)
-      Out[Task.Upstream].push_back(I);
+      Outstanding[Task.Upstream].push_back(I);
   }
-  for (const auto &[Upstream, Tasks] : Out)
+  for (const auto &[Upstream, Tasks] : Outstanding)
     this->sendWithdraw(Target, Upstream, Tasks, /*Probe=*/false);
 }
 
@@ -118,7 +120,7 @@
   if (New)
     Target.Upstreams.setShares(this->Position, this->Entries);
   if (Replaced)
-    this->loseTasks(Target, Index, "the agent was lost", Now);
+    this->handleLostTasks(Target, Index, "the agent was lost", Now);
   this->schedule(Target, Now);
 }
 
@@ -150,7 +152,7 @@
   return Known;
 }
 
-// ---- Order, route, dispatch ----
+// ---- Ordering, routing and dispatch ----
 
 void JobRunner::schedule(Pool &Target, TimePoint Now) {
   std::map<DispatchKey, peer::Dispatch> Batch;
@@ -158,7 +160,7 @@
   }
   this->flush(Target, Batch);
   if (Target.Queue.waiting() == 0 && Target.movesWaiting())
-    this->moveWaiting(Target);
+    this->rebalance(Target);
 }
 
 bool JobRunner::sendNext(Pool &Target, TimePoint Now,
@@ -178,7 +180,7 @@
   Target.Queue.pop();
   this->addToBatch(Target, *Owner, Next->Index, *Upstream, Batch);
   std::uint32_t Attempt = Owner->States[Next->Index].Attempt;
-  this->Probes.emplace(Now + this->Options.ProbeAfter,
+  this->Probes.emplace(Now + this->Options.ProbeTimeout,
                        DueProbe{{Owner->Number, Next->Index}, Attempt});
   return true;
 }
@@ -189,10 +191,11 @@
   std::optional<UpstreamIndex> Chosen =
       Policy.choose(Target.Upstreams, this->Random);
   const peer::Resources &Needs = Owner.Request.Tasks[Index].Needs;
-  if (!Chosen || !needsAnything(Needs) ||
+  if (!Chosen || !hasResourceNeeds(Needs) ||
       fits(Target.Upstreams.at(*Chosen).Resources, Needs))
     return Chosen;
-  // The policy's choice is too small: take the least loaded that is not.
+  // The policy chose an upstream that is too small for the task: use the least
+  // loaded one that is large enough.
   std::optional<UpstreamIndex> Best;
   for (UpstreamIndex I : Target.Upstreams.eligible()) {
     const Upstream &Candidate = Target.Upstreams.at(I);
@@ -218,9 +221,9 @@
   Task.Incarnation = Chosen.Incarnation;
   Task.Freshness = Chosen.Freshness;
   Task.UnansweredProbes = 0;
-  Task.AskedBack = false;
+  Task.WithdrawRequested = false;
   ++Task.Attempt;
-  ++Owner.OutCount;
+  ++Owner.OutstandingCount;
   Target.Upstreams.onSent(Upstream);
   Target.addTask(Upstream, {Owner.Number, Index});
 
@@ -249,16 +252,16 @@
   }
 }
 
-void JobRunner::moveWaiting(Pool &Target) {
+void JobRunner::rebalance(Pool &Target) {
   std::optional<UpstreamIndex> Free =
       Target.Upstreams.byTotalFree().pickBest(this->Random);
   if (!Free || Target.Upstreams.eligible().empty())
     return;
-  // A sample keeps the cost independent of the number of upstreams.
-  constexpr int Sample = 8;
+  // Sampling keeps the cost independent of the number of upstreams.
+  constexpr int SampleSize = 8;
   const std::vector<UpstreamIndex> &Eligible = Target.Upstreams.eligible();
   std::optional<UpstreamIndex> Longest;
-  for (int I = 0; I < Sample; ++I) {
+  for (int I = 0; I < SampleSize; ++I) {
     UpstreamIndex Index = Eligible[this->Random() % Eligible.size()];
     const Upstream &Candidate = Target.Upstreams.at(Index);
     if (Candidate.OwnTasks == 0 || Candidate.load() <= Candidate.Slots)
@@ -267,10 +270,10 @@
       Longest = Index;
   }
   if (Longest)
-    this->takeBackLast(Target, *Longest);
+    this->withdrawLast(Target, *Longest);
 }
 
-void JobRunner::takeBackLast(Pool &Target, UpstreamIndex Upstream) {
+void JobRunner::withdrawLast(Pool &Target, UpstreamIndex Upstream) {
   const std::vector<TaskRef> &Tasks = Target.tasksAt(Upstream);
   if (Tasks.empty())
     return;
@@ -280,15 +283,15 @@
     return;
   if (!Target.policy(Owner->Policy).movesWaiting())
     return;
-  // A task that was asked about already is not asked again.
+  // Request the withdrawal of each task only once.
   TaskState &Task = Owner->States[Last.Index];
-  if (Task.Phase != TaskPhase::Sent || Task.AskedBack)
+  if (Task.Phase != TaskPhase::Sent || Task.WithdrawRequested)
     return;
-  Task.AskedBack = true;
+  Task.WithdrawRequested = true;
   this->sendWithdraw(*Owner, Upstream, {Last.Index}, /*Probe=*/false);
 }
 
-// ---- Collect ----
+// ---- Task updates ----
 
 void JobRunner::onLoad(const std::string &Agent, const peer::AgentLoad &Load,
                        TimePoint Now) {
@@ -304,29 +307,31 @@
 
 void JobRunner::onUpdate(const std::string &Agent,
                          const peer::TaskUpdate &Update, TimePoint Now) {
-  Pool *Place = this->poolOf(Agent);
+  Pool *TargetPool = this->poolOf(Agent);
   std::optional<UpstreamIndex> Upstream;
-  if (Place != nullptr)
-    Upstream = Place->Upstreams.find(Agent);
+  if (TargetPool != nullptr)
+    Upstream = TargetPool->Upstreams.find(Agent);
   if (!Upstream)
     return;
   Job *Owner = this->findByKey(Update.job_key());
   if (Owner != nullptr && Update.index() < Owner->States.size()) {
     TaskState &Task = Owner->States[Update.index()];
-    bool Out =
+    bool Outstanding =
         Task.Phase == TaskPhase::Sent || Task.Phase == TaskPhase::Started;
-    // Words of an older send, of another life or of another agent are late.
-    bool SameSend =
-        Out && Task.Upstream == *Upstream && Task.Attempt == Update.attempt();
-    std::uint64_t Life = Update.load().incarnation();
-    // A later life can only say that it knows nothing of the task.
-    bool LifeOver =
-        Life > Task.Incarnation && Update.event() == peer::TASK_CANNOT_KNOW;
-    if (SameSend && (Life == Task.Incarnation || LifeOver))
+    // Ignore updates from an earlier attempt, another incarnation or another
+    // agent.
+    bool SameAttempt = Outstanding && Task.Upstream == *Upstream &&
+                       Task.Attempt == Update.attempt();
+    std::uint64_t AgentIncarnation = Update.load().incarnation();
+    // A later incarnation can only report that it doesn't know the task.
+    bool IsLaterIncarnation = AgentIncarnation > Task.Incarnation &&
+                              Update.event() == peer::TASK_CANNOT_KNOW;
+    if (SameAttempt &&
+        (AgentIncarnation == Task.Incarnation || IsLaterIncarnation))
       this->apply(*Owner, Update, Now);
   }
-  Place->Upstreams.onLoadReport(*Upstream, Update.load(), Now);
-  this->schedule(*Place, Now);
+  TargetPool->Upstreams.onLoadReport(*Upstream, Update.load(), Now);
+  this->schedule(*TargetPool, Now);
 }
 
 void JobRunner::apply(Job &Owner, const peer::TaskUpdate &Update,
@@ -355,63 +360,66 @@
 }
 
 void JobRunner::settle(Job &Owner, std::uint32_t Index) {
-  Pool &Place = this->Pools[Owner.PoolName];
+  Pool &TargetPool = this->Pools[Owner.PoolName];
   TaskState &Task = Owner.States[Index];
-  Place.Upstreams.onSettled(Task.Upstream);
-  Place.removeTask(Task.Upstream, {Owner.Number, Index});
-  Place.Queue.onSettled(Owner.Request.Workspace);
-  --Owner.OutCount;
+  TargetPool.Upstreams.onSettled(Task.Upstream);
+  TargetPool.removeTask(Task.Upstream, {Owner.Number, Index});
+  TargetPool.Queue.onSettled(Owner.Request.Workspace);
+  --Owner.OutstandingCount;
 }
 
 void JobRunner::onNotStarted(Job &Owner, std::uint32_t Index,
                              const peer::TaskUpdate &Update, TimePoint Now) {
   TaskState &Task = Owner.States[Index];
-  Pool &Place = this->Pools[Owner.PoolName];
+  Pool &TargetPool = this->Pools[Owner.PoolName];
   if (Update.reason() == UpstreamUnreachable)
-    Place.Upstreams.onFailure(Task.Upstream, Owner.Limits.eject_failures(),
-                              Now);
+    TargetPool.Upstreams.onFailure(Task.Upstream, Owner.Limits.eject_failures(),
+                                   Now);
   this->settle(Owner, Index);
   Task.Phase = TaskPhase::Waiting;
-  // The task went out and came back: both messages were for nothing.
+  // The dispatch and its rejection were both wasted.
   Owner.WastedMessages += 2;
   if (Owner.Phase == JobPhase::Finished)
     return;
-  // News that was merely old costs no retry: the answer brought newer.
+  // A rejection for stale load data costs no retry, since the reply carried
+  // newer data.
   if (Update.reason() == StaleNews)
-    Place.Queue.push(Owner.Request.Workspace, Owner.Rank, Owner.Number, Index);
+    TargetPool.Queue.push(Owner.Request.Workspace, Owner.Rank, Owner.Number,
+                          Index);
   else
     this->resend(Owner, Index, Update.reason(), Now);
 }
 
 void JobRunner::resend(Job &Owner, std::uint32_t Index,
                        const std::string &Reason, TimePoint Now) {
-  Pool &Place = this->Pools[Owner.PoolName];
-  if (!Place.budget(Owner.Request.Workspace).trySpend()) {
+  Pool &TargetPool = this->Pools[Owner.PoolName];
+  if (!TargetPool.budget(Owner.Request.Workspace).trySpend()) {
     FailureSpec Failure;
     Failure.Kind = peer::FAILURE_UNAVAILABLE;
     Failure.Step = "dispatch";
     Failure.Reason =
-        fmt::format("retry budget spent; last refusal: {}", Reason);
+        fmt::format("retry budget exhausted; last refusal: {}", Reason);
     Failure.Task = static_cast<int>(Index);
-    Failure.RetryAfter = expectedWait(Place);
+    Failure.RetryAfter = estimateWait(TargetPool);
     this->fail(Owner, Failure, Now);
     return;
   }
-  Place.Queue.push(Owner.Request.Workspace, Owner.Rank, Owner.Number, Index);
+  TargetPool.Queue.push(Owner.Request.Workspace, Owner.Rank, Owner.Number,
+                        Index);
 }
 
 void JobRunner::onEnded(Job &Owner, std::uint32_t Index,
                         const peer::TaskUpdate &Update, TimePoint Now) {
   TaskState &Task = Owner.States[Index];
-  Pool &Place = this->Pools[Owner.PoolName];
+  Pool &TargetPool = this->Pools[Owner.PoolName];
   this->settle(Owner, Index);
   Task.Phase = TaskPhase::Done;
   bool Ran = Update.event() != peer::TASK_CANNOT_KNOW;
   Owner.AnythingRan = Owner.AnythingRan || Ran;
   if (Update.event() == peer::TASK_SUCCEEDED) {
     std::chrono::microseconds Service(Update.service_us());
-    Place.Upstreams.onSuccess(Task.Upstream);
-    Place.learnService(Service);
+    TargetPool.Upstreams.onSuccess(Task.Upstream);
+    TargetPool.addServiceSample(Service);
     Owner.LongestService = std::max(Owner.LongestService, Service);
     Owner.TotalService += Service;
     if (Owner.Phase == JobPhase::Finished)
@@ -425,12 +433,12 @@
     return;
   FailureSpec Failure;
   Failure.Step = "execute";
-  Failure.Peer = Place.Upstreams.at(Task.Upstream).Name;
+  Failure.Peer = TargetPool.Upstreams.at(Task.Upstream).Name;
   Failure.Task = static_cast<int>(Index);
   Failure.Reason = Update.reason();
   if (Ran) {
-    Place.Upstreams.onFailure(Task.Upstream, Owner.Limits.eject_failures(),
-                              Now);
+    TargetPool.Upstreams.onFailure(Task.Upstream, Owner.Limits.eject_failures(),
+                                   Now);
     Failure.Kind = peer::FAILURE_TASK_FAILED;
   } else {
     Failure.Kind = peer::FAILURE_PEER_LOST;
--- a/entry/job_runner_watch.cpp
+++ b/entry/job_runner_watch.cpp
@@ -1,4 +1,4 @@
-//===- The part of JobRunner that deals with silence and loss -------------===//
+//===- JobRunner: probes, and tasks lost with their agent -----------------===//
 
 #include "entry/job_runner.h"
 
@@ -6,13 +6,13 @@
 
 namespace {
 
-/// Between two questions of an entry that waits and hears from nobody.
-constexpr std::chrono::milliseconds AskWhenDeaf{50};
+/// Interval of load requests while tasks wait and none are outstanding.
+constexpr std::chrono::milliseconds FreeSlotPollInterval{50};
 
 } // namespace
 
-void JobRunner::loseTasks(Pool &Target, UpstreamIndex Upstream,
-                          const std::string &Reason, TimePoint Now) {
+void JobRunner::handleLostTasks(Pool &Target, UpstreamIndex Upstream,
+                                const std::string &Reason, TimePoint Now) {
   std::vector<TaskRef> Lost = Target.tasksAt(Upstream);
   for (const TaskRef &Ref : Lost) {
     Job *Owner = this->find(Ref.Job);
@@ -47,46 +47,46 @@
     this->NumberOfKey.erase(Named);
 }
 
-void JobRunner::refreshIdle(Pool &Target, TimePoint Now) {
+void JobRunner::refreshSilentAgents(Pool &Target, TimePoint Now) {
   for (UpstreamIndex Index : Target.Upstreams.eligible()) {
     const Upstream &Idle = Target.Upstreams.at(Index);
-    if (Now - Idle.LastHeard >= this->Options.RefreshAfter)
-      this->askForLoad(Idle);
+    if (Now - Idle.LastHeard >= this->Options.LoadRefreshTimeout)
+      this->requestLoad(Idle);
   }
 }
 
-void JobRunner::askWhenDeaf(Pool &Target, TimePoint Now) {
-  // With no task out, no result will tell of slots that fall free.
+void JobRunner::pollForFreeSlots(Pool &Target, TimePoint Now) {
+  // Without outstanding tasks, no result will report free slots.
   const std::vector<UpstreamIndex> &Eligible = Target.Upstreams.eligible();
   if (Target.Queue.waiting() == 0 || Target.Queue.inFlight() > 0 ||
-      Eligible.empty() || Now < this->NextDeafQuestion)
+      Eligible.empty() || Now < this->NextFreeSlotPoll)
     return;
-  this->NextDeafQuestion = Now + AskWhenDeaf;
+  this->NextFreeSlotPoll = Now + FreeSlotPollInterval;
   UpstreamIndex Any = Eligible[this->Random() % Eligible.size()];
-  this->askForLoad(Target.Upstreams.at(Any));
+  this->requestLoad(Target.Upstreams.at(Any));
 }
 
-void JobRunner::askForLoad(const Upstream &Asked) {
+void JobRunner::requestLoad(const Upstream &Asked) {
   peer::Message Message;
   Message.mutable_withdraw()->set_probe(true);
   this->Sink.send(Asked.Agent, std::move(Message));
 }
 
 void JobRunner::tick(TimePoint Now) {
-  this->probeDue(Now);
+  this->sendDueProbes(Now);
   if (Now >= this->NextRefresh) {
-    this->NextRefresh = Now + this->Options.RefreshAfter / 4;
+    this->NextRefresh = Now + this->Options.LoadRefreshTimeout / 4;
     for (auto &[Name, Target] : this->Pools)
-      this->refreshIdle(Target, Now);
+      this->refreshSilentAgents(Target, Now);
   }
   for (auto &[Name, Target] : this->Pools) {
     Target.Upstreams.tick(Now);
     this->schedule(Target, Now);
-    this->askWhenDeaf(Target, Now);
+    this->pollForFreeSlots(Target, Now);
   }
 }
 
-void JobRunner::probeDue(TimePoint Now) {
+void JobRunner::sendDueProbes(TimePoint Now) {
   while (!this->Probes.empty() && this->Probes.begin()->first <= Now) {
     DueProbe Due = this->Probes.begin()->second;
     this->Probes.erase(this->Probes.begin());
@@ -94,12 +94,12 @@
     if (Owner == nullptr)
       continue;
     const TaskState &Task = Owner->States[Due.Task.Index];
-    bool Out =
+    bool Outstanding =
         Task.Phase == TaskPhase::Sent || Task.Phase == TaskPhase::Started;
-    if (!Out || Task.Attempt != Due.Attempt)
+    if (!Outstanding || Task.Attempt != Due.Attempt)
       continue;
-    if (Due.FollowsUp && Task.UnansweredProbes == 0)
-      this->Probes.emplace(Now + this->Options.ProbeAfter,
+    if (Due.IsRepeat && Task.UnansweredProbes == 0)
+      this->Probes.emplace(Now + this->Options.ProbeTimeout,
                            DueProbe{Due.Task, Due.Attempt});
     else
       this->probe(*Owner, Due.Task.Index, Now);
@@ -107,16 +107,16 @@
 }
 
 void JobRunner::onSendFailed(const std::string &Agent, TimePoint Now) {
-  Pool *Place = this->poolOf(Agent);
+  Pool *TargetPool = this->poolOf(Agent);
   std::optional<UpstreamIndex> Upstream;
-  if (Place != nullptr)
-    Upstream = Place->Upstreams.find(Agent);
+  if (TargetPool != nullptr)
+    Upstream = TargetPool->Upstreams.find(Agent);
   if (!Upstream)
     return;
-  std::vector<TaskRef> Doubtful = Place->tasksAt(*Upstream);
-  for (const TaskRef &Ref : Doubtful) {
+  std::vector<TaskRef> Unconfirmed = TargetPool->tasksAt(*Upstream);
+  for (const TaskRef &Ref : Unconfirmed) {
     Job *Owner = this->find(Ref.Job);
-    // One that is being asked about has its next question set already.
+    // A task with an unanswered probe already has its next probe scheduled.
     if (Owner != nullptr && Owner->States[Ref.Index].UnansweredProbes == 0)
       this->probe(*Owner, Ref.Index, Now);
   }
@@ -124,27 +124,29 @@
 
 void JobRunner::probe(Job &Owner, std::uint32_t Index, TimePoint Now) {
   TaskState &Task = Owner.States[Index];
-  Pool &Place = this->Pools[Owner.PoolName];
-  if (Task.UnansweredProbes >= this->Options.MaxUnanswered) {
-    Place.Upstreams.setUnreachable(Task.Upstream, true);
-    this->loseTasks(Place, Task.Upstream, "the agent does not answer", Now);
+  Pool &TargetPool = this->Pools[Owner.PoolName];
+  if (Task.UnansweredProbes >= this->Options.MaxUnansweredProbes) {
+    TargetPool.Upstreams.setUnreachable(Task.Upstream, true);
+    this->handleLostTasks(TargetPool, Task.Upstream,
+                          "the agent does not answer", Now);
     return;
   }
   ++Task.UnansweredProbes;
   bool Finished = Owner.Phase == JobPhase::Finished;
   this->sendWithdraw(Owner, Task.Upstream, {Index}, /*Probe=*/!Finished);
-  DueProbe Next{{Owner.Number, Index}, Task.Attempt, /*FollowsUp=*/true};
-  this->Probes.emplace(Now + this->Options.ProbeEvery, Next);
+  DueProbe Next{{Owner.Number, Index}, Task.Attempt, /*IsRepeat=*/true};
+  this->Probes.emplace(Now + this->Options.ProbeInterval, Next);
 }
 
 void JobRunner::sendWithdraw(Job &Owner, UpstreamIndex Upstream,
                              const std::vector<std::uint32_t> &Tasks,
                              bool Probe) {
-  Pool &Place = this->Pools[Owner.PoolName];
+  Pool &TargetPool = this->Pools[Owner.PoolName];
   peer::Message Message;
   peer::Withdraw *Withdraw = Message.mutable_withdraw();
   Withdraw->set_job_key(Owner.Request.key());
-  Withdraw->set_agent_incarnation(Place.Upstreams.at(Upstream).Incarnation);
+  Withdraw->set_agent_incarnation(
+      TargetPool.Upstreams.at(Upstream).Incarnation);
   Withdraw->set_probe(Probe);
   Withdraw->set_stop_running(Owner.Phase == JobPhase::Finished);
   for (std::uint32_t Index : Tasks) {
@@ -153,9 +155,9 @@
     Task->set_attempt(Owner.States[Index].Attempt);
     Task->set_freshness(Owner.States[Index].Freshness);
   }
-  // The question and its answer.
+  // Counts the request and its reply.
   Owner.WastedMessages += 2;
-  this->Sink.send(Place.Upstreams.at(Upstream).Agent, std::move(Message));
+  this->Sink.send(TargetPool.Upstreams.at(Upstream).Agent, std::move(Message));
 }
 
 } // namespace yardwheel
--- a/entry/job_service.cpp
+++ b/entry/job_service.cpp
@@ -8,9 +8,9 @@
 
 namespace {
 
-constexpr std::chrono::milliseconds EpochRetry{50};
-constexpr std::chrono::milliseconds SoonAgain{1000};
-constexpr std::chrono::milliseconds LikelyResubmitted{500};
+constexpr std::chrono::milliseconds EpochRetryDelay{50};
+constexpr std::chrono::milliseconds RetryDelay{1000};
+constexpr std::chrono::milliseconds ResubmissionAge{500};
 
 FailureSpec unavailable(const std::string &Step, const std::string &Reason,
                         peer::Ran Ran) {
@@ -19,23 +19,24 @@
   Failure.Ran = Ran;
   Failure.Step = Step;
   Failure.Reason = Reason;
-  Failure.RetryAfter = SoonAgain;
+  Failure.RetryAfter = RetryDelay;
   return Failure;
 }
 
-/// Whether a policy's share of an experiment covers this job.
-std::string policyFor(const peer::Workspace &Place, const std::string &Key) {
-  if (Place.experiment_size() == 0)
-    return Place.parameters().policy();
+/// Selects the job's policy: an experiment's arm by the hash of its key, or
+/// else the workspace's default.
+std::string policyFor(const peer::Workspace &Config, const std::string &Key) {
+  if (Config.experiment_size() == 0)
+    return Config.parameters().policy();
   constexpr std::uint64_t WholePercent = 100;
-  std::uint64_t Point = combineHash(stableHash(Key), Place.version());
+  std::uint64_t Point = combineHash(stableHash(Key), Config.version());
   Point %= WholePercent;
-  for (const peer::PolicyShare &Arm : Place.experiment()) {
+  for (const peer::PolicyShare &Arm : Config.experiment()) {
     if (Point < Arm.share())
       return Arm.policy();
     Point -= Arm.share();
   }
-  return Place.parameters().policy();
+  return Config.parameters().policy();
 }
 
 } // namespace
@@ -44,7 +45,7 @@
                        OutcomeSink &Outcomes, JobObserver &Observer)
     : Options(std::move(Options)), Sink(Sink), Outcomes(Outcomes),
       Observer(Observer), Runner(this->Options.Runner, Sink, *this),
-      Desk(this->Options.Self.incarnation(), Sink),
+      Registry(this->Options.Self.incarnation(), Sink),
       View(std::make_shared<const CatalogView>()) {
   this->LiveEntries.insert(this->Options.Self.entry());
 }
@@ -86,7 +87,7 @@
   return Found == this->Jobs.end() ? nullptr : Found->second.get();
 }
 
-// ---- Validate and claim ----
+// ---- Validation and claims ----
 
 void JobService::submit(JobRequest Request, Ticket Waiter, Instant Now) {
   Job *Known = this->find(Request.key());
@@ -96,7 +97,7 @@
   }
   std::optional<FailureSpec> Refusal = this->checkEnded(Request);
   if (!Refusal)
-    Refusal = this->checkForm(Request, Now);
+    Refusal = this->checkRequest(Request, Now);
   if (!Refusal)
     Refusal = this->checkReadiness(Request, Now);
   if (Refusal) {
@@ -105,11 +106,12 @@
     return;
   }
   Job &Target = this->addJob(std::move(Request), Waiter, Now);
-  // Nobody else can hold an id made here, so a refusal needs no claim.
-  if (Target.Request.IdMadeHere) {
+  // No other entry can hold a generated id, so rejecting the job needs no
+  // claim.
+  if (Target.Request.HasGeneratedId) {
     FailureSpec Admission = this->Runner.admit(Target);
     if (Admission.Kind != peer::FAILURE_UNSPECIFIED) {
-      this->dismiss(Target, Admission, Now.Steady);
+      this->finishReleased(Target, Admission, Now.Steady);
       return;
     }
   }
@@ -120,7 +122,7 @@
   }
   PendingClaim Claim;
   Claim.JobKey = Target.Request.key();
-  Claim.GiveUp = Now.Steady + this->Options.Claims.Timeout;
+  Claim.GiveUpAt = Now.Steady + this->Options.Claims.Timeout;
   this->openClaim(std::move(Claim), toUnixMillis(Target.Request.FirstSubmitted),
                   Target.Request.Fingerprint, Now);
 }
@@ -142,11 +144,11 @@
   std::optional<std::uint64_t> Ended = this->Ended.find(Request.key());
   if (!Ended)
     return std::nullopt;
-  return *Ended == Request.Fingerprint ? answerGone() : idConflict();
+  return *Ended == Request.Fingerprint ? answerExpired() : idConflict();
 }
 
-std::optional<FailureSpec> JobService::checkForm(const JobRequest &Request,
-                                                 Instant Now) const {
+std::optional<FailureSpec> JobService::checkRequest(const JobRequest &Request,
+                                                    Instant Now) const {
   FailureSpec Failure;
   Failure.Step = "validate";
   if (this->View->findWorkspace(Request.Workspace) == nullptr) {
@@ -176,35 +178,38 @@
 
 std::optional<FailureSpec> JobService::checkReadiness(const JobRequest &Request,
                                                       Instant Now) const {
-  peer::Ran Ran = Request.freshRan();
+  peer::Ran Ran = Request.ranBeforeClaim();
   if (this->Draining)
-    return unavailable("admit", "the entry is stopping; use another", Ran);
+    return unavailable("admit", "the entry is shutting down; use another entry",
+                       Ran);
   if (!this->isConfirmed(Now.Steady))
     return unavailable("admit", "control has not confirmed the configuration",
                        Ran);
-  if (this->Active >= this->Options.MaxJobs)
+  if (this->ActiveJobs >= this->Options.MaxJobs)
     return unavailable(
-        "admit", fmt::format("{} jobs are in flight here", this->Active), Ran);
+        "admit", fmt::format("{} jobs are in flight here", this->ActiveJobs),
+        Ran);
   return std::nullopt;
 }
 
 Job &JobService::addJob(JobRequest Request, Ticket Waiter, Instant Now) {
-  const peer::Workspace &Place = *this->View->findWorkspace(Request.Workspace);
+  const peer::Workspace &Config = *this->View->findWorkspace(Request.Workspace);
   std::string Key = Request.key();
   auto New = std::make_unique<Job>();
   New->Number = ++this->LastNumber;
-  New->Limits = Place.parameters();
-  New->PoolName = Place.parameters().pool().empty() ? Place.name()
-                                                    : Place.parameters().pool();
-  New->Policy = policyFor(Place, Key);
+  New->Limits = Config.parameters();
+  New->PoolName = Config.parameters().pool().empty()
+                      ? Config.name()
+                      : Config.parameters().pool();
+  New->Policy = policyFor(Config, Key);
   New->Submitted = Now.Steady;
   New->Deadline = Now.Steady + Request.TimeLeft;
   New->Waiters.push_back(Waiter);
   New->Request = std::move(Request);
   this->Deadlines.emplace(New->Deadline, Key);
-  ++this->Active;
+  ++this->ActiveJobs;
   std::unique_ptr<Job> &Slot = this->Jobs[Key];
-  // A job that was given back leaves its place to the new submission.
+  // A released job is replaced by the new submission.
   if (Slot)
     this->KeptBytes -= Slot->AnswerBytes;
   Slot = std::move(New);
@@ -214,21 +219,22 @@
 void JobService::openClaim(PendingClaim Claim, std::int64_t StampMs,
                            std::uint64_t Fingerprint, Instant Now) {
   std::uint64_t Attempt = ++this->LastAttempt;
-  bool Planned = this->plan(Claim, Attempt, StampMs, Fingerprint, Now);
+  bool Planned = this->prepareClaim(Claim, Attempt, StampMs, Fingerprint, Now);
   this->Claims[Attempt] = std::move(Claim);
   if (Planned)
-    this->Claims[Attempt].Claim->ask(this->Sink);
+    this->Claims[Attempt].Claim->sendRequests(this->Sink);
   else
     this->onDecision(Attempt, ClaimDecision(), Now);
 }
 
-bool JobService::plan(PendingClaim &Claim, std::uint64_t Attempt,
-                      std::int64_t StampMs, std::uint64_t Fingerprint,
-                      Instant Now) {
+bool JobService::prepareClaim(PendingClaim &Claim, std::uint64_t Attempt,
+                              std::int64_t StampMs, std::uint64_t Fingerprint,
+                              Instant Now) {
   if (this->View->Groups.empty())
     return false;
   std::uint32_t Count = this->View->Groups.begin()->second.group_count();
-  const std::string &Key = Claim.Asked ? Claim.Asked->Key : Claim.JobKey;
+  const std::string &Key =
+      Claim.PendingQuery ? Claim.PendingQuery->Key : Claim.JobKey;
   auto Group = this->View->Groups.find(groupOf(Key, Count));
   if (Group == this->View->Groups.end())
     return false;
@@ -246,13 +252,14 @@
   Request.set_attempt(Attempt);
   Request.set_group(Group->first);
   Request.set_epoch(Group->second.epoch());
-  Request.set_read_only(Claim.Asked.has_value());
+  Request.set_read_only(Claim.PendingQuery.has_value());
   ClaimTimes Times = this->Options.Claims;
   Times.Timeout = std::chrono::duration_cast<std::chrono::milliseconds>(
-      Claim.GiveUp - Now.Steady);
-  // An id that is older than a submission takes has been here before.
+      Claim.GiveUpAt - Now.Steady);
+  // An id that is older than a submission takes to arrive was probably
+  // submitted before.
   WallTime Stamp = fromUnixMillis(StampMs);
-  bool LikelyHeld = Claim.Asked || Now.Wall - Stamp > LikelyResubmitted;
+  bool LikelyHeld = Claim.PendingQuery || Now.Wall - Stamp > ResubmissionAge;
   Claim.Claim.emplace(std::move(Request), std::move(Holders), Times, Now.Steady,
                       LikelyHeld);
   return true;
@@ -277,18 +284,19 @@
     return;
   PendingClaim Claim = std::move(Found->second);
   this->Claims.erase(Found);
-  // The holders have moved on: ask again, by then with their epoch.
-  bool MayRetry = Now.Steady + EpochRetry < Claim.GiveUp;
+  // The holders are in another epoch: retry the claim, by then with their
+  // epoch.
+  bool MayRetry = Now.Steady + EpochRetryDelay < Claim.GiveUpAt;
   if (Decision.Result == ClaimResult::WrongEpoch && MayRetry) {
     std::int64_t Stamp = Claim.Claim->request().stamp_ms();
     std::uint64_t Fingerprint = Claim.Claim->request().fingerprint();
     Claim.Claim->release(this->Sink);
-    Claim.RetryAt = Now.Steady + EpochRetry;
+    Claim.RetryAt = Now.Steady + EpochRetryDelay;
     this->openClaim(std::move(Claim), Stamp, Fingerprint, Now);
     return;
   }
-  if (Claim.Asked) {
-    this->onQueryDecision(*Claim.Asked, Decision, Now);
+  if (Claim.PendingQuery) {
+    this->onQueryDecision(*Claim.PendingQuery, Decision, Now);
     return;
   }
   Job *Target = this->find(Claim.JobKey);
@@ -305,7 +313,7 @@
     this->onWon(Target, Claim, Now);
     return;
   }
-  // What was granted is given back before anything else is done.
+  // Release the granted claims first.
   if (Claim.Claim)
     Claim.Claim->release(this->Sink);
   if (Decision.Result == ClaimResult::Held) {
@@ -313,7 +321,7 @@
     return;
   }
   FailureSpec Failure = unavailable("claim", "too few ledger holders answered",
-                                    Target.Request.freshRan());
+                                    Target.Request.ranBeforeClaim());
   if (Decision.Result == ClaimResult::Unknown) {
     Failure.Reason = "the ledger's holders have restarted since the id's "
                      "first submission and cannot know whether it ran";
@@ -326,15 +334,15 @@
   } else if (Decision.Result == ClaimResult::WrongEpoch) {
     Failure.Reason = "the ledger's holders are being replaced";
   }
-  this->dismiss(Target, Failure, Now.Steady);
+  this->finishReleased(Target, Failure, Now.Steady);
 }
 
 void JobService::onWon(Job &Target, PendingClaim &Claim, Instant Now) {
   FailureSpec Admission = this->Runner.admit(Target);
   if (Admission.Kind != peer::FAILURE_UNSPECIFIED) {
-    // This entry is the only owner, so that "not run" is true.
+    // This entry is the only owner, so reporting "not run" is correct.
     Claim.Claim->release(this->Sink);
-    this->dismiss(Target, Admission, Now.Steady);
+    this->finishReleased(Target, Admission, Now.Steady);
     return;
   }
   Target.Phase = JobPhase::Running;
@@ -344,13 +352,13 @@
 void JobService::onHeld(Job &Target, PendingClaim &,
                         const ClaimDecision &Decision, Instant Now) {
   if (Decision.Fingerprint != Target.Request.Fingerprint) {
-    this->dismiss(Target, idConflict(), Now.Steady);
+    this->finishReleased(Target, idConflict(), Now.Steady);
     return;
   }
   Target.Phase = JobPhase::Attached;
   Ticket Request =
-      this->Desk.open(Target.Request.key(), Decision.Owner,
-                      Decision.Fingerprint, AttachMode::Wait, Now.Steady);
+      this->Registry.open(Target.Request.key(), Decision.Owner,
+                          Decision.Fingerprint, AttachMode::Wait, Now.Steady);
   this->Attaches[Request] = {Target.Request.key(), std::nullopt};
 }
 
--- a/entry/job_service_answers.cpp
+++ b/entry/job_service_answers.cpp
@@ -1,4 +1,4 @@
-//===- The part of JobService that ends jobs and keeps answers ------------===//
+//===- JobService: ends jobs and retains answers --------------------------===//
 
 #include "entry/job_service.h"
 
@@ -6,11 +6,11 @@
 
 namespace {
 
-constexpr std::chrono::milliseconds SoonAgain{1000};
+constexpr std::chrono::milliseconds ExpiryRetryDelay{1000};
 
 } // namespace
 
-// ---- Answer ----
+// ---- Finishing jobs and retaining answers ----
 
 void JobService::onComplete(Job &Target, TimePoint Now) {
   peer::JobOutcome Outcome;
@@ -30,13 +30,14 @@
   bool WasRunning = Target.Phase == JobPhase::Running;
   Target.Phase = JobPhase::Finished;
   Target.Outcome = std::move(Outcome);
-  --this->Active;
+  --this->ActiveJobs;
   if (WasRunning) {
     this->Runner.stop(Target, Now);
     const auto &Pools = this->Runner.pools();
-    auto Place = Pools.find(Target.PoolName);
+    auto FoundPool = Pools.find(Target.PoolName);
     this->Observer.onJobEnded(
-        Target, Place == Pools.end() ? 0 : Place->second.Upstreams.aliveSlots(),
+        Target,
+        FoundPool == Pools.end() ? 0 : FoundPool->second.Upstreams.aliveSlots(),
         Now);
   }
   for (Ticket Waiter : Target.Waiters)
@@ -72,8 +73,8 @@
   }
 }
 
-void JobService::dismiss(Job &Target, const FailureSpec &Failure,
-                         TimePoint Now) {
+void JobService::finishReleased(Job &Target, const FailureSpec &Failure,
+                                TimePoint Now) {
   Target.Released = true;
   this->finish(Target, failureOutcome(Failure), Now);
 }
@@ -83,8 +84,9 @@
   Failure.Kind = peer::FAILURE_CANCELLED;
   Failure.Step = "cancel";
   Failure.Reason = "cancelled by the caller";
-  Failure.Ran = Target.Phase == JobPhase::Running ? Target.ran()
-                                                  : Target.Request.freshRan();
+  Failure.Ran = Target.Phase == JobPhase::Running
+                    ? Target.ran()
+                    : Target.Request.ranBeforeClaim();
   this->finish(Target, failureOutcome(Failure), Now.Steady);
 }
 
@@ -93,12 +95,12 @@
   this->Runner.tick(Now.Steady);
   this->tickDeadlines(Now.Steady);
   this->tickExpiries(Now.Steady);
-  for (Ticket Silent : this->Desk.tick(Now.Steady)) {
+  for (Ticket Silent : this->Registry.tick(Now.Steady)) {
     FailureSpec Failure;
     Failure.Kind = peer::FAILURE_PEER_LOST;
     Failure.Ran = peer::RAN_UNKNOWN;
     Failure.Step = "attach";
-    Failure.Peer = this->Desk.ownerOf(Silent).entry();
+    Failure.Peer = this->Registry.ownerOf(Silent).entry();
     Failure.Reason = "the entry that owns the job does not answer";
     peer::JobOutcome Outcome = failureOutcome(Failure);
     this->closeAttach(Silent, &Outcome, Now.Steady);
@@ -118,7 +120,7 @@
     Failure.Reason = "the deadline has passed";
     Failure.Ran = Target->Phase == JobPhase::Running
                       ? Target->ran()
-                      : Target->Request.freshRan();
+                      : Target->Request.ranBeforeClaim();
     this->finish(*Target, failureOutcome(Failure), Now);
   }
 }
@@ -131,7 +133,7 @@
     this->expire(Key, Now);
   }
   this->dropOldestAnswers(Now);
-  // Keys of jobs that expired in time are of no more use.
+  // Drop the keys of jobs that have already expired.
   while (!this->KeptAnswers.empty() &&
          this->find(this->KeptAnswers.front()) == nullptr)
     this->KeptAnswers.pop_front();
@@ -142,14 +144,14 @@
   if (Target == nullptr || Target->Phase != JobPhase::Finished ||
       Now < Target->KeepUntil)
     return;
-  // Tasks that are still out must find their job.
-  if (Target->OutCount > 0) {
-    this->Expiries.emplace(Now + SoonAgain, Key);
+  // Updates for outstanding tasks must still find their job.
+  if (Target->OutstandingCount > 0) {
+    this->Expiries.emplace(Now + ExpiryRetryDelay, Key);
     return;
   }
   TimePoint Forget = Target->Submitted + this->Options.LedgerRetention +
                      2 * this->Options.ClockAllowance;
-  // The id stays known as used for as long as the ledger knows it.
+  // Remember the id as used for as long as the ledger does.
   if (!Target->Released)
     this->Ended.add(Key, Target->Request.Fingerprint, Forget);
   this->Runner.forget(*Target);
--- a/entry/job_service_peers.cpp
+++ b/entry/job_service_peers.cpp
@@ -1,4 +1,4 @@
-//===- The part of JobService that talks with other processes -------------===//
+//===- JobService: messages from and to other processes -------------------===//
 
 #include "entry/job_service.h"
 
@@ -37,14 +37,14 @@
   }
 }
 
-// ---- Questions about a job ----
+// ---- Queries from callers ----
 
 void JobService::query(const std::string &Key, QueryKind Kind, Ticket Waiter,
                        Instant Now) {
   Job *Known = this->find(Key);
-  bool Here = Known != nullptr && Known->Phase != JobPhase::Attached &&
-              !Known->Released;
-  if (Here) {
+  bool IsKnownHere = Known != nullptr && Known->Phase != JobPhase::Attached &&
+                     !Known->Released;
+  if (IsKnownHere) {
     if (Kind == QueryKind::Cancel && !Known->Outcome)
       this->cancel(*Known, Now);
     this->Outcomes.onOutcome(Waiter,
@@ -52,24 +52,26 @@
     return;
   }
   if (this->Ended.find(Key)) {
-    peer::JobOutcome Gone = failureOutcome(answerGone());
-    this->Outcomes.onOutcome(Waiter, &Gone);
+    peer::JobOutcome Expired = failureOutcome(answerExpired());
+    this->Outcomes.onOutcome(Waiter, &Expired);
     return;
   }
   PendingClaim Claim;
-  Claim.Asked = Query{Key, Kind, Waiter};
-  Claim.GiveUp = Now.Steady + this->Options.Claims.Timeout;
+  Claim.PendingQuery = Query{Key, Kind, Waiter};
+  Claim.GiveUpAt = Now.Steady + this->Options.Claims.Timeout;
   this->openClaim(std::move(Claim), toUnixMillis(Now.Wall), 0, Now);
 }
 
-void JobService::onQueryDecision(const Query &Asked,
+void JobService::onQueryDecision(const Query &PendingQuery,
                                  const ClaimDecision &Decision, Instant Now) {
   if (Decision.Result == ClaimResult::Held) {
-    AttachMode Mode =
-        Asked.Kind == QueryKind::Cancel ? AttachMode::Cancel : AttachMode::Peek;
-    Ticket Request = this->Desk.open(Asked.Key, Decision.Owner,
-                                     Decision.Fingerprint, Mode, Now.Steady);
-    this->Attaches[Request] = {"", Asked};
+    AttachMode Mode = PendingQuery.Kind == QueryKind::Cancel
+                          ? AttachMode::Cancel
+                          : AttachMode::Peek;
+    Ticket Request =
+        this->Registry.open(PendingQuery.Key, Decision.Owner,
+                            Decision.Fingerprint, Mode, Now.Steady);
+    this->Attaches[Request] = {"", PendingQuery};
     return;
   }
   FailureSpec Failure;
@@ -84,30 +86,32 @@
     Failure.RetryAfter = std::chrono::seconds(1);
   }
   peer::JobOutcome Outcome = failureOutcome(Failure);
-  this->Outcomes.onOutcome(Asked.Waiter, &Outcome);
+  this->Outcomes.onOutcome(PendingQuery.Waiter, &Outcome);
 }
 
-// ---- The owner's side ----
+// ---- Requests from other entries ----
 
 void JobService::onAttachRequest(const PeerRef &From,
                                  const peer::AttachRequest &Request,
                                  Instant Now) {
   RemoteWaiter Asker{From, Request.ticket(), Request.asker_incarnation()};
   Job *Known = this->find(Request.job_key());
-  bool ThisLife =
+  bool SameIncarnation =
       Request.owner_incarnation() == this->Options.Self.incarnation();
-  bool Mine = Known != nullptr && Known->Phase != JobPhase::Attached &&
-              !Known->Released && ThisLife;
-  std::optional<std::uint64_t> EndedHash = this->Ended.find(Request.job_key());
-  if (!Mine && ThisLife && EndedHash) {
-    bool Same = *EndedHash == Request.fingerprint();
-    peer::JobOutcome Gone = failureOutcome(Same ? answerGone() : idConflict());
-    this->replyAttach(Asker, peer::ATTACH_ANSWERED, &Gone);
+  bool IsOwnedHere = Known != nullptr && Known->Phase != JobPhase::Attached &&
+                     !Known->Released && SameIncarnation;
+  std::optional<std::uint64_t> EndedFingerprint =
+      this->Ended.find(Request.job_key());
+  if (!IsOwnedHere && SameIncarnation && EndedFingerprint) {
+    bool Same = *EndedFingerprint == Request.fingerprint();
+    peer::JobOutcome Expired =
+        failureOutcome(Same ? answerExpired() : idConflict());
+    this->replyAttach(Asker, peer::ATTACH_ANSWERED, &Expired);
     return;
   }
-  if (!Mine) {
-    if (ThisLife)
-      this->disown(Request.job_key());
+  if (!IsOwnedHere) {
+    if (SameIncarnation)
+      this->releaseStaleGrant(Request.job_key());
     this->replyAttach(Asker, peer::ATTACH_NOT_MINE, nullptr);
     return;
   }
@@ -123,13 +127,13 @@
   }
   auto IsSame = [&](const RemoteWaiter &Waiter) {
     return Waiter.Entry.Node == From.Node &&
-           Waiter.TheirTicket == Asker.TheirTicket &&
-           Waiter.TheirIncarnation == Asker.TheirIncarnation;
+           Waiter.RemoteTicket == Asker.RemoteTicket &&
+           Waiter.RemoteIncarnation == Asker.RemoteIncarnation;
   };
   bool Listed = std::any_of(Known->RemoteWaiters.begin(),
                             Known->RemoteWaiters.end(), IsSame);
-  // Who waits hears of the end; only who looks, or asks again, is told that
-  // there is none yet.
+  // A waiting entry is sent the outcome when the job ends. Only an entry that
+  // peeks or that repeats its request is told that the job is still pending.
   if (!Request.peek() && !Listed) {
     Known->RemoteWaiters.push_back(Asker);
     return;
@@ -137,12 +141,13 @@
   this->replyAttach(Asker, peer::ATTACH_PENDING, nullptr);
 }
 
-void JobService::disown(const std::string &Key) {
-  // A lost release left a grant behind; nothing was or will be started.
+void JobService::releaseStaleGrant(const std::string &Key) {
+  // The release of an earlier claim was lost, so the grant remained. No task
+  // was or will be started.
   PendingClaim Claim;
   Claim.JobKey = Key;
   Instant Unused{};
-  if (this->plan(Claim, this->LastAttempt, 0, 0, Unused))
+  if (this->prepareClaim(Claim, this->LastAttempt, 0, 0, Unused))
     Claim.Claim->release(this->Sink);
 }
 
@@ -150,23 +155,24 @@
                              const peer::JobOutcome *Outcome) {
   peer::Message Message;
   peer::AttachReply *Reply = Message.mutable_attach_reply();
-  Reply->set_ticket(To.TheirTicket);
-  Reply->set_asker_incarnation(To.TheirIncarnation);
+  Reply->set_ticket(To.RemoteTicket);
+  Reply->set_asker_incarnation(To.RemoteIncarnation);
   Reply->set_state(State);
   if (Outcome != nullptr)
     *Reply->mutable_outcome() = *Outcome;
   this->Sink.send(To.Entry, std::move(Message));
 }
 
-// ---- The asking side ----
+// ---- Replies from owning entries ----
 
 void JobService::onAttachReply(const peer::AttachReply &Reply, Instant Now) {
   auto Found = this->Attaches.find(Reply.ticket());
-  if (Found == this->Attaches.end() || !this->Desk.onReply(Reply, Now.Steady))
+  if (Found == this->Attaches.end() ||
+      !this->Registry.onReply(Reply, Now.Steady))
     return;
   switch (Reply.state()) {
   case peer::ATTACH_PENDING:
-    if (Found->second.Asked)
+    if (Found->second.PendingQuery)
       this->closeAttach(Reply.ticket(), nullptr, Now.Steady);
     return;
   case peer::ATTACH_ANSWERED:
@@ -177,7 +183,7 @@
   }
   FailureSpec Failure;
   Failure.Step = "attach";
-  Failure.Peer = this->Desk.ownerOf(Reply.ticket()).entry();
+  Failure.Peer = this->Registry.ownerOf(Reply.ticket()).entry();
   Failure.Ran = peer::RAN_UNKNOWN;
   if (Reply.state() == peer::ATTACH_CONFLICT) {
     Failure.Kind = peer::FAILURE_CONFLICT;
@@ -185,7 +191,7 @@
     Failure.Reason = "the id was submitted before with other content";
   } else {
     Failure.Kind = peer::FAILURE_PEER_LOST;
-    Failure.Reason = "the entry that owned the job no longer knows it";
+    Failure.Reason = "the entry that owned the job has no record of it";
     Failure.RetryAfter = std::chrono::seconds(1);
   }
   peer::JobOutcome Outcome = failureOutcome(Failure);
@@ -196,16 +202,16 @@
                              TimePoint Now) {
   OpenAttach Closed = this->Attaches.at(Request);
   this->Attaches.erase(Request);
-  this->Desk.close(Request);
-  if (Closed.Asked) {
-    this->Outcomes.onOutcome(Closed.Asked->Waiter, Outcome);
+  this->Registry.close(Request);
+  if (Closed.PendingQuery) {
+    this->Outcomes.onOutcome(Closed.PendingQuery->Waiter, Outcome);
     return;
   }
   Job *Target = this->find(Closed.JobKey);
   if (Target == nullptr || Target->Phase != JobPhase::Attached ||
       Outcome == nullptr)
     return;
-  // The owner keeps the answer; nothing is kept here.
+  // The owner retains the answer, so no copy is kept here.
   Target->Released = true;
   this->finish(*Target, *Outcome, Now);
 }
--- a/entry/pool.cpp
+++ b/entry/pool.cpp
@@ -40,9 +40,9 @@
     List.erase(Found);
 }
 
-void Pool::learnService(std::chrono::microseconds Seen) {
-  constexpr int Memory = 16;
-  this->Service += (Seen - this->Service) / Memory;
+void Pool::addServiceSample(std::chrono::microseconds Seen) {
+  constexpr int SmoothingSamples = 16;
+  this->TypicalService += (Seen - this->TypicalService) / SmoothingSamples;
 }
 
 } // namespace yardwheel
--- a/entry/request_path.cpp
+++ b/entry/request_path.cpp
@@ -12,9 +12,9 @@
 
 namespace {
 
-constexpr std::uint32_t MaxDeclared = 3600000;
-/// About the time in which an entry that starts is told of its configuration.
-constexpr std::chrono::milliseconds UnconfiguredRetry{1000};
+constexpr std::uint32_t MaxDeclaredMs = 3600000;
+/// Roughly the time that a starting entry needs to receive its configuration.
+constexpr std::chrono::milliseconds UnconfiguredRetryDelay{1000};
 
 Rejection reject(std::string Reason) {
   return {HttpStatus::BadRequest, "validate", std::move(Reason)};
@@ -25,8 +25,8 @@
       google::protobuf::util::TimeUtil::TimestampToMilliseconds(Time));
 }
 
-/// Hash of what a resubmission must repeat: the tasks and the mark, not the
-/// deadline, which a client may set anew.
+/// Hashes what a resubmission must repeat: the tasks and the repeatable flag.
+/// The deadline is excluded because a client may change it.
 std::uint64_t fingerprint(const api::SubmitRequest &Document) {
   std::uint64_t Hash = combineHash(0, Document.repeatable() ? 1 : 0);
   for (const api::TaskSpec &Task : Document.tasks()) {
@@ -45,7 +45,7 @@
     JobId Made = makeUuidV7(Now, Random);
     Request.Id = Made.Key;
     Request.FirstSubmitted = Now;
-    Request.IdMadeHere = true;
+    Request.HasGeneratedId = true;
     return std::nullopt;
   }
   if (std::optional<JobId> Uuid = parseUuidV7(Document.id())) {
@@ -73,9 +73,9 @@
     return reject(
         fmt::format("tasks: expected 1 to {}, found {}", MaxTasks, Count));
   for (const api::TaskSpec &Given : Document.tasks()) {
-    if (Given.declared_ms() > MaxDeclared)
+    if (Given.declared_ms() > MaxDeclaredMs)
       return reject(fmt::format("tasks[{}].declared_ms: expected 0 to {}",
-                                Request.Tasks.size(), MaxDeclared));
+                                Request.Tasks.size(), MaxDeclaredMs));
     TaskSpec Task;
     Task.Payload = Given.payload();
     Task.Declared = std::chrono::milliseconds(Given.declared_ms());
@@ -111,41 +111,41 @@
   if (!isUtf8(Body))
     return Rejection{HttpStatus::BadRequest, "decode",
                      "body: expected UTF-8 text"};
-  std::string Wrong = fromJson(Body, Document);
-  if (Wrong.empty())
+  std::string Error = fromJson(Body, Document);
+  if (Error.empty())
     return std::nullopt;
-  return Rejection{HttpStatus::BadRequest, "decode", "body: " + Wrong};
+  return Rejection{HttpStatus::BadRequest, "decode", "body: " + Error};
 }
 
 std::optional<Rejection> rejectUnconfigured(const CatalogView &View) {
   if (View.Revision > 0)
     return std::nullopt;
   return Rejection{HttpStatus::Unavailable, "validate",
-                   "this entry has not heard of its configuration yet",
-                   UnconfiguredRetry};
+                   "this entry has not received its configuration yet",
+                   UnconfiguredRetryDelay};
 }
 
 std::optional<Rejection>
 validateSubmission(const api::SubmitRequest &Document,
                    const std::string &Workspace, const CatalogView &View,
                    WallTime Now, std::mt19937_64 &Random, JobRequest &Request) {
-  if (std::optional<Rejection> Early = rejectUnconfigured(View))
-    return Early;
-  const peer::Workspace *Place = View.findWorkspace(Workspace);
-  if (Place == nullptr)
+  if (std::optional<Rejection> Unconfigured = rejectUnconfigured(View))
+    return Unconfigured;
+  const peer::Workspace *Config = View.findWorkspace(Workspace);
+  if (Config == nullptr)
     return Rejection{
         HttpStatus::NotFound, "validate",
         fmt::format("workspace '{}': not found", printable(Workspace))};
-  const peer::Parameters &Limits = Place->parameters();
+  const peer::Parameters &Limits = Config->parameters();
   Request.Workspace = Workspace;
   Request.Repeatable = Document.repeatable();
   Request.Fingerprint = fingerprint(Document);
-  std::optional<Rejection> Wrong = readId(Document, Now, Random, Request);
-  if (!Wrong)
-    Wrong = readTasks(Document, Limits.max_tasks(), Request);
-  if (!Wrong)
-    Wrong = readDeadline(Document, Limits.max_deadline_ms(), Now, Request);
-  return Wrong;
+  std::optional<Rejection> Error = readId(Document, Now, Random, Request);
+  if (!Error)
+    Error = readTasks(Document, Limits.max_tasks(), Request);
+  if (!Error)
+    Error = readDeadline(Document, Limits.max_deadline_ms(), Now, Request);
+  return Error;
 }
 
 } // namespace yardwheel
--- a/ledger/claimant.cpp
+++ b/ledger/claimant.cpp
@@ -8,13 +8,13 @@
 
 namespace {
 
-ClaimDecision plain(ClaimResult Result) {
+ClaimDecision makeDecision(ClaimResult Result) {
   ClaimDecision Decision;
   Decision.Result = Result;
   return Decision;
 }
 
-ClaimDecision heldBy(const peer::ClaimReply &Reply) {
+ClaimDecision makeHeldDecision(const peer::ClaimReply &Reply) {
   ClaimDecision Decision;
   Decision.Result = ClaimResult::Held;
   Decision.Owner = Reply.owner();
@@ -31,15 +31,15 @@
 Claimant::Claimant(peer::ClaimRequest Request, std::vector<PeerRef> Holders,
                    ClaimTimes Times, TimePoint Now, bool LikelyHeld)
     : Request(std::move(Request)), Holders(std::move(Holders)),
-      Replies(this->Holders.size()), AskedOne(LikelyHeld), Times(Times),
-      Deadline(Now + Times.Timeout), NextSend(Now + Times.Resend) {}
+      Replies(this->Holders.size()), OnlyFirstAsked(LikelyHeld), Times(Times),
+      Deadline(Now + Times.Timeout), NextSend(Now + Times.ResendInterval) {}
 
-void Claimant::ask(PeerSink &Sink) {
+void Claimant::sendRequests(PeerSink &Sink) {
   for (std::size_t I = 0; I < this->Holders.size(); ++I) {
     const std::optional<peer::ClaimReply> &Known = this->Replies[I];
     if (Known && Known->verdict() == peer::CLAIM_GRANTED)
       continue;
-    if (this->AskedOne && I > 0)
+    if (this->OnlyFirstAsked && I > 0)
       return;
     peer::Message Message;
     *Message.mutable_claim_request() = this->Request;
@@ -50,9 +50,10 @@
 void Claimant::release(PeerSink &Sink) const {
   for (std::size_t I = 0; I < this->Holders.size(); ++I) {
     const std::optional<peer::ClaimReply> &Known = this->Replies[I];
-    bool Nothing = (Known && Known->verdict() != peer::CLAIM_GRANTED) ||
-                   (this->AskedOne && I > 0) || this->Request.read_only();
-    if (Nothing)
+    bool NothingToRelease =
+        (Known && Known->verdict() != peer::CLAIM_GRANTED) ||
+        (this->OnlyFirstAsked && I > 0) || this->Request.read_only();
+    if (NothingToRelease)
       continue;
     const PeerRef &Holder = this->Holders[I];
     peer::Message Message;
@@ -67,34 +68,35 @@
 
 std::optional<ClaimDecision> Claimant::onReply(const peer::ClaimReply &Reply,
                                                PeerSink &Sink) {
-  // Attempts count anew in each life of an entry.
-  bool Mine = Reply.attempt() == this->Request.attempt() &&
-              Reply.job_key() == this->Request.job_key() &&
-              Reply.asker_incarnation() == this->Request.owner().incarnation();
-  if (!Mine)
+  // Attempt numbers restart with each incarnation of an entry.
+  bool IsForThisClaim =
+      Reply.attempt() == this->Request.attempt() &&
+      Reply.job_key() == this->Request.job_key() &&
+      Reply.asker_incarnation() == this->Request.owner().incarnation();
+  if (!IsForThisClaim)
     return std::nullopt;
   for (std::size_t I = 0; I < this->Holders.size(); ++I) {
     if (this->Holders[I].Node != Reply.holder())
       continue;
     std::optional<peer::ClaimReply> &Known = this->Replies[I];
-    // A grant stands until this claim gives it back.
+    // A grant remains valid until this claim releases it.
     if (!Known || Known->verdict() != peer::CLAIM_GRANTED)
       Known = Reply;
   }
-  if (this->AskedOne && Reply.verdict() != peer::CLAIM_HELD) {
-    this->AskedOne = false;
-    this->ask(Sink);
+  if (this->OnlyFirstAsked && Reply.verdict() != peer::CLAIM_HELD) {
+    this->OnlyFirstAsked = false;
+    this->sendRequests(Sink);
   }
   return this->decide();
 }
 
 std::optional<ClaimDecision> Claimant::onTick(TimePoint Now, PeerSink &Sink) {
   if (Now >= this->Deadline)
-    return this->decideLate();
+    return this->decideOnTimeout();
   if (Now >= this->NextSend) {
-    this->NextSend = Now + this->Times.Resend;
-    this->AskedOne = false;
-    this->ask(Sink);
+    this->NextSend = Now + this->Times.ResendInterval;
+    this->OnlyFirstAsked = false;
+    this->sendRequests(Sink);
   }
   return std::nullopt;
 }
@@ -127,15 +129,15 @@
       continue;
     bool Decided = this->countHeldBy(Reply->owner()) >= HolderMajority;
     bool Yields = this->Request.owner().entry() > Reply->owner().entry();
-    if (Decided || Yields || this->AskedOne || this->Request.read_only())
-      return heldBy(*Reply);
+    if (Decided || Yields || this->OnlyFirstAsked || this->Request.read_only())
+      return makeHeldDecision(*Reply);
   }
   return std::nullopt;
 }
 
 std::optional<ClaimDecision> Claimant::decide() const {
   if (this->count(peer::CLAIM_GRANTED) >= HolderMajority)
-    return plain(ClaimResult::Won);
+    return makeDecision(ClaimResult::Won);
   std::optional<ClaimDecision> Held = this->decideHeld();
   if (Held)
     return Held;
@@ -152,16 +154,16 @@
   };
   for (const Row &Candidate : Rows)
     if (this->count(Candidate.Verdict) >= HolderMajority)
-      return plain(Candidate.Result);
+      return makeDecision(Candidate.Result);
   return std::nullopt;
 }
 
-ClaimDecision Claimant::decideLate() const {
+ClaimDecision Claimant::decideOnTimeout() const {
   if (const peer::ClaimReply *Held = this->heldReply())
-    return heldBy(*Held);
+    return makeHeldDecision(*Held);
   if (this->count(peer::CLAIM_CANNOT_KNOW) > 0)
-    return plain(ClaimResult::Unknown);
-  return plain(ClaimResult::Unavailable);
+    return makeDecision(ClaimResult::Unknown);
+  return makeDecision(ClaimResult::Unavailable);
 }
 
 } // namespace yardwheel
--- a/ledger/ledger_holder.cpp
+++ b/ledger/ledger_holder.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-bool names(const peer::HolderGroup &Group, const std::string &Name) {
+bool isHolderOf(const peer::HolderGroup &Group, const std::string &Name) {
   return std::find(Group.holders().begin(), Group.holders().end(), Name) !=
          Group.holders().end();
 }
@@ -22,17 +22,19 @@
 
 void LedgerHolder::setGroups(const CatalogView &View, WallTime Now) {
   for (const auto &[Number, Group] : View.Groups) {
-    if (!names(Group, this->Name)) {
-      this->Seats.erase(Number);
+    if (!isHolderOf(Group, this->Name)) {
+      this->GroupStates.erase(Number);
       continue;
     }
-    // Claims granted elsewhere, before this seat was taken, carry stamps of
-    // at most one allowance ahead of a clock that differs by another one.
-    auto [Held, New] = this->Seats.try_emplace(Number);
+    // Ids claimed before this holder joined the group may be stamped up to one
+    // clock allowance ahead, by a clock that differs from this one by another
+    // allowance.
+    auto [State, New] = this->GroupStates.try_emplace(Number);
     if (New)
-      Held->second.KnownSince = Now + 2 * this->Options.ClockAllowance;
-    Held->second.Epoch = Group.epoch();
-    Held->second.Sealed = Group.sealed();
+      State->second.RecordsCompleteSince =
+          Now + 2 * this->Options.ClockAllowance;
+    State->second.Epoch = Group.epoch();
+    State->second.Sealed = Group.sealed();
   }
 }
 
@@ -43,17 +45,18 @@
   Reply.set_attempt(Request.attempt());
   Reply.set_holder(this->Name);
   Reply.set_asker_incarnation(Request.owner().incarnation());
-  Reply.set_verdict(this->judge(Request, Now, Reply));
+  Reply.set_verdict(this->evaluate(Request, Now, Reply));
   return Reply;
 }
 
-peer::ClaimVerdict LedgerHolder::judge(const peer::ClaimRequest &Request,
-                                       WallTime Now, peer::ClaimReply &Reply) {
-  auto Held = this->Seats.find(Request.group());
-  if (Held == this->Seats.end())
+peer::ClaimVerdict LedgerHolder::evaluate(const peer::ClaimRequest &Request,
+                                          WallTime Now,
+                                          peer::ClaimReply &Reply) {
+  auto State = this->GroupStates.find(Request.group());
+  if (State == this->GroupStates.end())
     return peer::CLAIM_WRONG_EPOCH;
-  Reply.set_epoch(Held->second.Epoch);
-  if (Held->second.Sealed || Held->second.Epoch != Request.epoch())
+  Reply.set_epoch(State->second.Epoch);
+  if (State->second.Sealed || State->second.Epoch != Request.epoch())
     return peer::CLAIM_WRONG_EPOCH;
 
   auto Known = this->Records.find(Request.job_key());
@@ -65,13 +68,13 @@
     return peer::CLAIM_HELD;
   }
   if (Known == this->Records.end()) {
-    peer::ClaimVerdict Verdict = this->judgeStamp(Request, Held->second, Now);
+    peer::ClaimVerdict Verdict = this->checkStamp(Request, State->second, Now);
     if (Verdict != peer::CLAIM_GRANTED)
       return Verdict;
   }
   if (Request.read_only())
     return peer::CLAIM_ABSENT;
-  // A late copy of a claim that was given back must not bring it to life.
+  // A delayed duplicate of a released claim must not claim the id again.
   if (Known != this->Records.end() &&
       Request.attempt() <= Known->second.Attempt &&
       Known->second.Owner.entry().empty() &&
@@ -81,15 +84,15 @@
   return peer::CLAIM_GRANTED;
 }
 
-peer::ClaimVerdict LedgerHolder::judgeStamp(const peer::ClaimRequest &Request,
-                                            const Seat &Held,
+peer::ClaimVerdict LedgerHolder::checkStamp(const peer::ClaimRequest &Request,
+                                            const GroupState &State,
                                             WallTime Now) const {
   WallTime Stamp = fromUnixMillis(Request.stamp_ms());
   if (Stamp > Now + this->Options.ClockAllowance)
     return peer::CLAIM_IN_FUTURE;
   if (Stamp < Now - this->Options.Retention)
     return peer::CLAIM_EXPIRED;
-  if (this->Options.RefuseUnknownPast && Stamp <= Held.KnownSince)
+  if (this->Options.RefuseUnknownPast && Stamp <= State.RecordsCompleteSince)
     return peer::CLAIM_CANNOT_KNOW;
   return peer::CLAIM_GRANTED;
 }
@@ -97,12 +100,12 @@
 void LedgerHolder::record(const peer::ClaimRequest &Request) {
   auto [Target, New] = this->Records.try_emplace(Request.job_key());
   if (New)
-    this->Order.push_back(Request.job_key());
-  // A late copy of an earlier attempt must not let that attempt's release
-  // give the present one back.
-  bool Again = isSameOwner(Target->second.Owner, Request.owner());
+    this->InsertionOrder.push_back(Request.job_key());
+  // A delayed duplicate of an earlier attempt must not lower the recorded
+  // attempt, or that attempt's release would release the current claim.
+  bool IsSameOwner = isSameOwner(Target->second.Owner, Request.owner());
   std::uint64_t Newest = std::max(Target->second.Attempt, Request.attempt());
-  Target->second.Attempt = Again ? Newest : Request.attempt();
+  Target->second.Attempt = IsSameOwner ? Newest : Request.attempt();
   Target->second.Owner = Request.owner();
   Target->second.Fingerprint = Request.fingerprint();
   Target->second.Stamp = fromUnixMillis(Request.stamp_ms());
@@ -116,23 +119,24 @@
   if (!isSameOwner(Target.Owner, Release.owner()) ||
       Target.Attempt > Release.attempt())
     return;
-  // The incarnation and the attempt stay, to know late copies by.
+  // Keep the incarnation and the attempt to recognise delayed duplicates.
   Target.Owner.clear_entry();
   Target.Attempt = Release.attempt();
 }
 
 void LedgerHolder::expire(WallTime Now) {
-  // An id is refused as expired before its record goes.
+  // Records outlive the retention, so that ids are rejected as expired before
+  // their records are removed.
   WallTime Limit =
       Now - this->Options.Retention - 2 * this->Options.ClockAllowance;
-  while (!this->Order.empty()) {
-    auto Oldest = this->Records.find(this->Order.front());
+  while (!this->InsertionOrder.empty()) {
+    auto Oldest = this->Records.find(this->InsertionOrder.front());
     if (Oldest != this->Records.end()) {
       if (Oldest->second.Stamp >= Limit)
         return;
       this->Records.erase(Oldest);
     }
-    this->Order.pop_front();
+    this->InsertionOrder.pop_front();
   }
 }
 
