--- a/agent/agent_core.cpp
+++ b/agent/agent_core.cpp
@@ -124,7 +124,7 @@
   bool Old = Dispatch.freshness() + Bound < this->stamp(Now) ||
              Dispatch.freshness() < this->OldestStamp;
   if (Old && this->Options.FencesOldDispatches)
-    return StaleNews;
+    return StaleLoad;
   if (this->Draining)
     return Leaving;
   bool Full = this->Running >= this->Options.Slots &&
--- a/agent/lease_keeper.cpp
+++ b/agent/lease_keeper.cpp
@@ -20,7 +20,7 @@
 LeaseKeeper::LeaseKeeper(KeeperOptions Options, PeerSink &Sink,
                          WorkerPort &Port)
     : Options(Options), Sink(Sink), Session(Options.Session, Port, *this),
-      Desk(Options.OfferHold) {}
+      Desk(Options.OfferTimeout) {}
 
 std::uint64_t LeaseKeeper::stampAt(Instant Now) {
   auto Since = std::chrono::duration_cast<std::chrono::milliseconds>(
@@ -33,7 +33,7 @@
   this->leaveIfDraining(Now);
 }
 
-void LeaseKeeper::outrank(std::uint64_t Known) {
+void LeaseKeeper::raiseIncarnationAbove(std::uint64_t Known) {
   if (Known < this->Options.Incarnation)
     return;
   this->Log.decision("incarnation_raised",
@@ -231,11 +231,11 @@
 
 bool LeaseKeeper::offerRoom(Interest &For, Instant Now) {
   std::uint32_t Tasks = 0;
-  while (Tasks < For.Tasks && this->fits(timesNeeds(For.Needs, Tasks + 1)))
+  while (Tasks < For.Tasks && this->fits(multiplyNeeds(For.Needs, Tasks + 1)))
     ++Tasks;
   if (Tasks == 0)
     return false;
-  this->takeRoom(timesNeeds(For.Needs, Tasks));
+  this->takeRoom(multiplyNeeds(For.Needs, Tasks));
   peer::Message Message;
   peer::LeasedOffer *Offer = Message.mutable_leased_offer();
   Offer->set_job(For.Job);
@@ -360,8 +360,8 @@
 }
 
 bool LeaseKeeper::mayStart(Instant Now) const {
-  return this->Session.isReady() &&
-         this->runsEndBy(Now) - Now.Steady >= this->Options.LeastWorkerLease;
+  return this->Session.isReady() && this->maxWorkerLeaseEnd(Now) - Now.Steady >=
+                                        this->Options.MinWorkerLease;
 }
 
 bool LeaseKeeper::outlastsWorker(const Task &Which) const {
--- a/agent/lease_keeper.h
+++ b/agent/lease_keeper.h
@@ -37,29 +37,29 @@
   /// worker's lease ends, and with it all runs there.
   std::chrono::milliseconds StopAllowance{250};
   /// What the worker's lease must last at least for a task to be started.
-  std::chrono::milliseconds LeastWorkerLease{100};
+  std::chrono::milliseconds MinWorkerLease{100};
   /// After the worker found no room where we counted some.
-  std::chrono::milliseconds RoomRetry{20};
+  std::chrono::milliseconds NoRoomRetryInterval{20};
   /// How long the number of a task's last run is remembered.
-  std::chrono::milliseconds RunMemory{60000};
+  std::chrono::milliseconds RunRetention{60000};
   /// How long the end of a task waits for those of its job's other tasks here.
   /// They are of like length, and the entry can answer only with the last.
-  std::chrono::milliseconds EndLinger{40};
+  std::chrono::milliseconds EndBatchDelay{40};
   /// How long the placement of a task that has ended is remembered: longer
   /// than an entry may send a dispatch again.
-  std::chrono::milliseconds OrderMemory{5000};
+  std::chrono::milliseconds PlacementRetention{5000};
   /// How long offered room is held for its entry's answer: several round trips
   /// between data centres.
-  std::chrono::milliseconds OfferHold{20};
+  std::chrono::milliseconds OfferTimeout{20};
   SessionOptions Session;
   /// How long a crash of the worker is told with each load, so that whoever has
   /// tasks there hears of it at once.
-  std::chrono::milliseconds CrashIsNews{1000};
+  std::chrono::milliseconds RecentCrashWindow{1000};
   /// How long it is told in answers to renewals: several times what
   /// an entry takes to ask again, and longer than jobs live (17 s).
-  std::chrono::milliseconds CrashTold{20000};
+  std::chrono::milliseconds CrashRetention{20000};
   /// Off only in tests that show what the rule is for.
-  bool LeasesCountFromEcho = true;
+  bool LeasesCountFromStamp = true;
 };
 
 struct KeeperCounters {
@@ -81,14 +81,14 @@
   /// has a number of its own, so that entries do not take it for the last.
   std::uint64_t incarnation() const { return this->Options.Incarnation; }
   /// Takes an incarnation above one that others know of an earlier life.
-  void outrank(std::uint64_t Known);
+  void raiseIncarnationAbove(std::uint64_t Known);
   void onMessage(const PeerRef &From, const peer::Message &Message,
                  Instant Now);
   void tick(Instant Now);
   /// Tells an entry again what it may not have heard, while its lease lasts.
   void onUndelivered(const Undelivered &Lost, Instant Now);
   /// A life of the worker has said that it has left.
-  void onWorkerLeft(const WorkerLife &Life, Instant Now);
+  void onWorkerLeft(const WorkerIncarnation &Life, Instant Now);
   /// Gives back what waits and takes nothing more; what runs goes on.
   void leave(const std::string &Reason, Instant Now);
   /// The same, for good.
@@ -103,13 +103,13 @@
   std::size_t queued() const { return this->Queue.size(); }
 
   void onRunRefused(const RunKey &Run, WorkerRefusal Why, Instant Now) override;
-  void onRunEnded(const RunKey &Run, RunEnd How, Instant Now) override;
+  void onRunEnded(const RunKey &Run, RunOutcome How, Instant Now) override;
   void onWorkerAttached(Instant Now) override;
   void onWorkerCrashed(const std::vector<RunKey> &Runs, Instant Now) override;
   void onRoomChanged(Instant Now) override;
   void onWorkerReady(Instant Now) override;
   void onWorkerSilent(Instant Now) override;
-  TimePoint runsEndBy(Instant Now) const override;
+  TimePoint maxWorkerLeaseEnd(Instant Now) const override;
 
 private:
   struct TaskId {
@@ -206,7 +206,7 @@
   bool isOverfull() const;
   void takeRoom(const peer::TaskNeeds &Needs);
   std::uint64_t nextRun(const TaskId &Id, std::uint32_t Attempt, Instant Now);
-  void countEnd(const Task &Which, RunEnd How);
+  void countEnd(const Task &Which, RunOutcome How);
   void giveRoomBack(const peer::TaskNeeds &Needs);
 
   void say(const TaskId &Id, const Task &Which, peer::LeasedEvent Event,
@@ -257,7 +257,7 @@
     TimePoint At;
   };
   std::deque<Crash> Crashes;
-  OfferDesk Desk;
+  OfferQueue Desk;
   /// By runs and by offers.
   peer::TaskNeeds Used;
   TimePoint NoRoomUntil = TimePoint::min();
--- a/agent/lease_keeper_ends.cpp
+++ b/agent/lease_keeper_ends.cpp
@@ -43,16 +43,16 @@
                                      {"refusal", refusalName(Why)},
                                      {"used_cpu_milli", this->Used.cpu_milli()},
                                      {"queued", this->Queue.size()}});
-  if (Why == WorkerRefusal::OldRun)
+  if (Why == WorkerRefusal::StaleRun)
     this->LastRuns[Id].Run += RunStep;
   bool Wanted = Which->State == Phase::Running;
   bool MayWait = Why == WorkerRefusal::NoRoom || Why == WorkerRefusal::Fenced ||
-                 Why == WorkerRefusal::OldRun;
+                 Why == WorkerRefusal::StaleRun;
   if (Wanted && MayWait && !this->Leaving) {
     Which->State = Phase::Queued;
     this->Queue.push_back(Id);
     if (Why == WorkerRefusal::NoRoom)
-      this->NoRoomUntil = Now.Steady + this->Options.RoomRetry;
+      this->NoRoomUntil = Now.Steady + this->Options.NoRoomRetryInterval;
     else
       this->startFitting(Now);
     return;
@@ -64,32 +64,32 @@
   this->startFitting(Now);
 }
 
-void LeaseKeeper::countEnd(const Task &Which, RunEnd How) {
-  if (How == RunEnd::Done) {
+void LeaseKeeper::countEnd(const Task &Which, RunOutcome How) {
+  if (How == RunOutcome::Done) {
     ++this->Counters.Done;
     this->FailuresInRow = 0;
     return;
   }
-  if (How == RunEnd::Failed)
+  if (How == RunOutcome::Failed)
     ++this->Counters.Failed;
   else
     ++this->Counters.EndedEarly;
-  bool WorkerAtFault =
-      How == RunEnd::Failed || How == RunEnd::Unanswered || Which.Stalled;
+  bool WorkerAtFault = How == RunOutcome::Failed ||
+                       How == RunOutcome::Unanswered || Which.Stalled;
   if (WorkerAtFault)
     ++this->FailuresInRow;
 }
 
-void LeaseKeeper::onRunEnded(const RunKey &Run, RunEnd How, Instant Now) {
+void LeaseKeeper::onRunEnded(const RunKey &Run, RunOutcome How, Instant Now) {
   Task *Which = this->taskOf(Run);
   if (Which == nullptr)
     return;
   TaskId Id{Run.Job, Run.Index};
   this->giveRoomBack(Which->Needs);
   peer::LeasedEvent Event = peer::LEASED_ENDED_EARLY;
-  if (How == RunEnd::Done)
+  if (How == RunOutcome::Done)
     Event = peer::LEASED_DONE;
-  else if (How == RunEnd::Failed)
+  else if (How == RunOutcome::Failed)
     Event = peer::LEASED_FAILED;
   this->countEnd(*Which, How);
   this->Log.decision(
@@ -100,20 +100,21 @@
        {"entry", Which->Owner.Node},
        {"order", Which->Order},
        {"lease_left_ms", millisBetween(Now.Steady, Which->Until)},
-       {"end", runEndName(How)},
+       {"end", runOutcomeName(How)},
        {"waited_ms", millisBetween(Which->Arrived, Which->Started)},
        {"ran_ms", millisBetween(Which->Started, Now.Steady)}});
   // Its entry takes it for lost with the agent's earlier life.
-  if (How == RunEnd::Unknown) {
+  if (How == RunOutcome::Unknown) {
     this->Ended[{Which->Owner.Node, Which->Order}] = Now.Steady;
     this->Tasks.erase(Id);
     return;
   }
   peer::LeasedRefusal Blame =
-      How == RunEnd::Unanswered ? peer::REFUSAL_WORKER : peer::REFUSAL_NONE;
-  bool WorkerLost = How == RunEnd::Lapsed && !this->Session.isHeard() &&
-                    !this->Leaving && !this->LastLifeLeft;
-  this->say(Id, *Which, Event, Blame, runEndName(How), Now, WorkerLost);
+      How == RunOutcome::Unanswered ? peer::REFUSAL_WORKER : peer::REFUSAL_NONE;
+  bool WorkerLost = How == RunOutcome::Lapsed &&
+                    !this->Session.isResponsive() && !this->Leaving &&
+                    !this->LastLifeLeft;
+  this->say(Id, *Which, Event, Blame, runOutcomeName(How), Now, WorkerLost);
   this->Tasks.erase(Id);
   this->NoRoomUntil = TimePoint::min();
   this->startFitting(Now);
@@ -175,9 +176,9 @@
   this->giveBackQueue(peer::REFUSAL_WORKER, "the worker is silent", Now);
 }
 
-void LeaseKeeper::onWorkerLeft(const WorkerLife &Life, Instant Now) {
+void LeaseKeeper::onWorkerLeft(const WorkerIncarnation &Life, Instant Now) {
   bool Present = this->Session.hasWorker() &&
-                 isSameLife(this->Session.profile().life(), Life);
+                 isSameIncarnation(this->Session.profile().life(), Life);
   if (Present)
     this->leave("the worker has left", Now);
 }
@@ -233,7 +234,7 @@
   if (Event == peer::LEASED_DONE && this->mayLinger(Id, Which)) {
     Lingering &Held = this->Untold[Which.Owner.Node];
     if (Held.Updates.empty())
-      Held = {Which.Owner, Now.Steady + this->Options.EndLinger, {}};
+      Held = {Which.Owner, Now.Steady + this->Options.EndBatchDelay, {}};
     Held.Updates.push_back(std::move(Message));
     return;
   }
@@ -242,7 +243,7 @@
 }
 
 bool LeaseKeeper::mayLinger(const TaskId &Id, const Task &Which) const {
-  if (this->Options.EndLinger.count() == 0)
+  if (this->Options.EndBatchDelay.count() == 0)
     return false;
   auto First = this->Tasks.lower_bound({Id.Job, 0});
   for (auto It = First; It != this->Tasks.end() && It->first.Job == Id.Job;
@@ -301,7 +302,8 @@
   Load.set_others_cpu_milli(Others);
   Load.set_leaving(this->Leaving);
   for (const Crash &Known : this->Crashes)
-    if (WithAllCrashes || Now.Steady - Known.At < this->Options.CrashIsNews)
+    if (WithAllCrashes ||
+        Now.Steady - Known.At < this->Options.RecentCrashWindow)
       *Load.add_crashes() = Known.Told;
   if (this->Session.hasWorker())
     *Load.mutable_room() = this->Session.profile().Room;
--- a/agent/lease_keeper_leases.cpp
+++ b/agent/lease_keeper_leases.cpp
@@ -30,7 +30,7 @@
 std::chrono::milliseconds LeaseKeeper::leaseFrom(std::uint64_t Stamp,
                                                  Instant Now) const {
   std::uint64_t Present = stampAt(Now);
-  if (!this->Options.LeasesCountFromEcho)
+  if (!this->Options.LeasesCountFromStamp)
     Stamp = Present;
   auto Length = static_cast<std::uint64_t>(this->Options.EntryLease.count());
   if (Stamp > Present || Present - Stamp >= Length)
@@ -51,7 +51,7 @@
       Known.Until = std::max(Known.Until, Until);
 }
 
-TimePoint LeaseKeeper::runsEndBy(Instant Now) const {
+TimePoint LeaseKeeper::maxWorkerLeaseEnd(Instant Now) const {
   // What waits counts as well: it may start next.
   TimePoint First = TimePoint::max();
   for (const auto &[Id, Known] : this->Tasks) {
@@ -110,19 +110,19 @@
 
 void LeaseKeeper::sweep(Instant Now) {
   while (!this->Crashes.empty() &&
-         Now.Steady - this->Crashes.front().At > this->Options.CrashTold)
+         Now.Steady - this->Crashes.front().At > this->Options.CrashRetention)
     this->Crashes.pop_front();
   if (Now.Steady >= this->NextOrderSweep) {
-    this->NextOrderSweep = Now.Steady + this->Options.OrderMemory;
+    this->NextOrderSweep = Now.Steady + this->Options.PlacementRetention;
     std::erase_if(this->Ended, [&](const auto &Item) {
-      return Now.Steady - Item.second > this->Options.OrderMemory;
+      return Now.Steady - Item.second > this->Options.PlacementRetention;
     });
   }
   if (Now.Steady < this->NextSweep)
     return;
-  this->NextSweep = Now.Steady + this->Options.RunMemory;
+  this->NextSweep = Now.Steady + this->Options.RunRetention;
   std::erase_if(this->LastRuns, [&](const auto &Item) {
-    return Now.Steady - Item.second.Used > this->Options.RunMemory;
+    return Now.Steady - Item.second.Used > this->Options.RunRetention;
   });
 }
 
--- a/agent/offer_desk.cpp
+++ b/agent/offer_desk.cpp
@@ -4,7 +4,8 @@
 
 namespace yardwheel {
 
-peer::TaskNeeds timesNeeds(const peer::TaskNeeds &Needs, std::uint32_t Tasks) {
+peer::TaskNeeds multiplyNeeds(const peer::TaskNeeds &Needs,
+                              std::uint32_t Tasks) {
   peer::TaskNeeds All;
   All.set_cpu_milli(Needs.cpu_milli() * Tasks);
   All.set_memory_mb(Needs.memory_mb() * Tasks);
@@ -12,7 +13,7 @@
   return All;
 }
 
-void OfferDesk::add(Interest New) {
+void OfferQueue::add(Interest New) {
   auto Later = [&](const Interest &Known) {
     return New.StartBy < Known.StartBy;
   };
@@ -21,29 +22,29 @@
   this->Interests.insert(Place, std::move(New));
 }
 
-void OfferDesk::drop(const std::string &Entry, const std::string &Job) {
+void OfferQueue::drop(const std::string &Entry, const std::string &Job) {
   std::erase_if(this->Interests, [&](const Interest &Known) {
     return Known.Entry.Node == Entry && Known.Job == Job;
   });
 }
 
-void OfferDesk::dropStale(TimePoint Now) {
+void OfferQueue::dropStale(TimePoint Now) {
   std::erase_if(this->Interests, [&](const Interest &Known) {
     return Known.Tasks == 0 || Now >= Known.StartBy;
   });
 }
 
-std::uint64_t OfferDesk::hold(Interest &For, std::uint32_t Tasks,
-                              TimePoint Now) {
+std::uint64_t OfferQueue::hold(Interest &For, std::uint32_t Tasks,
+                               TimePoint Now) {
   For.Tasks -= Tasks;
   this->Offers[++this->LastOffer] = {For.Entry.Node, For.Job, Tasks,
-                                     timesNeeds(For.Needs, Tasks),
+                                     multiplyNeeds(For.Needs, Tasks),
                                      Now + this->HoldFor};
   return this->LastOffer;
 }
 
-peer::TaskNeeds OfferDesk::release(const std::string &Entry,
-                                   std::uint64_t Offer, std::uint32_t Tasks) {
+peer::TaskNeeds OfferQueue::release(const std::string &Entry,
+                                    std::uint64_t Offer, std::uint32_t Tasks) {
   auto Found = this->Offers.find(Offer);
   if (Found == this->Offers.end() || Found->second.Entry != Entry)
     return {};
@@ -54,7 +55,7 @@
   return Answered.Room;
 }
 
-std::vector<peer::TaskNeeds> OfferDesk::releaseAll() {
+std::vector<peer::TaskNeeds> OfferQueue::releaseAll() {
   std::vector<peer::TaskNeeds> Rooms;
   for (const auto &[Number, Offer] : this->Offers)
     Rooms.push_back(Offer.Room);
@@ -62,7 +63,7 @@
   return Rooms;
 }
 
-std::vector<peer::TaskNeeds> OfferDesk::releaseExpired(TimePoint Now) {
+std::vector<peer::TaskNeeds> OfferQueue::releaseExpired(TimePoint Now) {
   std::vector<peer::TaskNeeds> Rooms;
   std::erase_if(this->Offers, [&](const auto &Item) {
     bool Over = Now >= Item.second.Until;
--- a/agent/offer_desk.h
+++ b/agent/offer_desk.h
@@ -30,10 +30,10 @@
   TimePoint StartBy;
 };
 
-class OfferDesk {
+class OfferQueue {
 public:
   /// \param HoldFor How long offered room is held for an answer.
-  explicit OfferDesk(std::chrono::milliseconds HoldFor) : HoldFor(HoldFor) {}
+  explicit OfferQueue(std::chrono::milliseconds HoldFor) : HoldFor(HoldFor) {}
 
   void add(Interest New);
   /// No more tasks of the job wait at this entry.
@@ -72,7 +72,8 @@
 };
 
 /// What several tasks of the same needs take together.
-peer::TaskNeeds timesNeeds(const peer::TaskNeeds &Needs, std::uint32_t Tasks);
+peer::TaskNeeds multiplyNeeds(const peer::TaskNeeds &Needs,
+                              std::uint32_t Tasks);
 
 } // namespace yardwheel
 
--- a/agent/refusals.h
+++ b/agent/refusals.h
@@ -10,7 +10,7 @@
 
 namespace yardwheel {
 
-constexpr const char *StaleNews = "the dispatch rests on old news";
+constexpr const char *StaleLoad = "the dispatch rests on old news";
 constexpr const char *SlotsFull = "slots and queue are full";
 constexpr const char *Leaving = "the upstream is leaving";
 constexpr const char *Withdrawn = "withdrawn before its start";
--- a/agent/worker_port.h
+++ b/agent/worker_port.h
@@ -38,23 +38,25 @@
 
 /// One life of a worker. A worker may start again under the id that it had;
 /// then its numbers of ends, its clock and its announcements begin anew.
-struct WorkerLife {
+struct WorkerIncarnation {
   std::string Id;
   /// The Unix millisecond of its start; nothing where the worker does not say.
-  std::optional<std::uint64_t> Born;
+  std::optional<std::uint64_t> StartUnixMs;
 };
 
 /// Whether both names mean one life: without a time of birth on both sides the
 /// id alone is the life.
-inline bool isSameLife(const WorkerLife &A, const WorkerLife &B) {
-  return A.Id == B.Id && (!A.Born || !B.Born || *A.Born == *B.Born);
+inline bool isSameIncarnation(const WorkerIncarnation &A,
+                              const WorkerIncarnation &B) {
+  return A.Id == B.Id &&
+         (!A.StartUnixMs || !B.StartUnixMs || *A.StartUnixMs == *B.StartUnixMs);
 }
 
 /// What a worker says of itself.
 struct WorkerProfile {
-  /// Its life; see WorkerLife.
+  /// Its life; see WorkerIncarnation.
   std::string Id;
-  std::optional<std::uint64_t> Born;
+  std::optional<std::uint64_t> StartUnixMs;
   std::string Address;
   std::string Pool;
   peer::TaskNeeds Room;
@@ -64,7 +66,7 @@
   std::uint64_t Sequence = 0;
   WorkerTime Clock{};
 
-  WorkerLife life() const { return {this->Id, this->Born}; }
+  WorkerIncarnation life() const { return {this->Id, this->StartUnixMs}; }
 };
 
 struct StartCall {
@@ -95,20 +97,20 @@
   /// A higher fencing token has been seen.
   Fenced,
   /// This run or a later one has been stopped or has ended there.
-  OldRun,
+  StaleRun,
   /// The lease in the call has run out.
-  LeaseOver,
+  LeaseExpired,
   /// Its room does not hold the task.
   NoRoom,
   /// The worker is unwell and has done nothing.
-  Unwell,
+  Unhealthy,
   /// Another life of the worker is at this address.
-  OtherLife,
+  OtherIncarnation,
   /// The call could not be read.
   Malformed,
 };
 
-enum class RunEnd {
+enum class RunOutcome {
   Done,
   Failed,
   Stopped,
@@ -125,7 +127,7 @@
   /// Counts a worker life's ends from 1.
   std::uint64_t Number = 0;
   RunKey Run;
-  RunEnd How = RunEnd::Other;
+  RunOutcome How = RunOutcome::Other;
 };
 
 struct WorkerReply {
@@ -134,13 +136,13 @@
   bool Answered = false;
   WorkerRefusal Refusal = WorkerRefusal::None;
   /// Which of the lives that share the id of the call has answered.
-  std::optional<std::uint64_t> Born;
+  std::optional<std::uint64_t> StartUnixMs;
   std::optional<WorkerTime> Clock;
   std::vector<RunKey> Running;
   std::vector<EndedRun> Ended;
   /// Rows of both lists, and of the first alone, that could not be read.
-  std::size_t BadRows = 0;
-  std::size_t BadRunning = 0;
+  std::size_t UnreadableRows = 0;
+  std::size_t UnreadableRunning = 0;
   /// Ends up to this number have all been read.
   std::uint64_t ReadUpTo = UINT64_MAX;
   /// What went wrong, for logs.
--- a/agent/worker_session.cpp
+++ b/agent/worker_session.cpp
@@ -18,15 +18,15 @@
     return "none";
   case WorkerRefusal::Fenced:
     return "fenced";
-  case WorkerRefusal::OldRun:
+  case WorkerRefusal::StaleRun:
     return "old_run";
-  case WorkerRefusal::LeaseOver:
+  case WorkerRefusal::LeaseExpired:
     return "lease_over";
   case WorkerRefusal::NoRoom:
     return "no_room";
-  case WorkerRefusal::Unwell:
+  case WorkerRefusal::Unhealthy:
     return "unwell";
-  case WorkerRefusal::OtherLife:
+  case WorkerRefusal::OtherIncarnation:
     return "other_life";
   case WorkerRefusal::Malformed:
     return "malformed";
@@ -34,21 +34,21 @@
   return "malformed";
 }
 
-const char *runEndName(RunEnd End) {
+const char *runOutcomeName(RunOutcome End) {
   switch (End) {
-  case RunEnd::Done:
+  case RunOutcome::Done:
     return "done";
-  case RunEnd::Failed:
+  case RunOutcome::Failed:
     return "failed";
-  case RunEnd::Stopped:
+  case RunOutcome::Stopped:
     return "stopped";
-  case RunEnd::Lapsed:
+  case RunOutcome::Lapsed:
     return "lapsed";
-  case RunEnd::Unanswered:
+  case RunOutcome::Unanswered:
     return "unanswered";
-  case RunEnd::Unknown:
+  case RunOutcome::Unknown:
     return "unknown";
-  case RunEnd::Other:
+  case RunOutcome::Other:
     return "other";
   }
   return "other";
@@ -67,7 +67,7 @@
   this->ClockReadAt = Now.Steady;
   this->LastAnswer = Now.Steady;
   // The word of another life says nothing of this one.
-  if (Reply.Refusal != WorkerRefusal::OtherLife)
+  if (Reply.Refusal != WorkerRefusal::OtherIncarnation)
     this->UnheardSince.reset();
 }
 
@@ -79,7 +79,7 @@
 
 TimePoint WorkerSession::nextLeaseEnd(Instant Now) const {
   return std::min(Now.Steady + this->Options.Lease,
-                  this->Events.runsEndBy(Now));
+                  this->Events.maxWorkerLeaseEnd(Now));
 }
 
 WorkerTime WorkerSession::extendLease(Instant Now) {
@@ -88,7 +88,7 @@
   this->LeaseEnds = std::max(this->LeaseEnds, Ends);
   auto Since = std::chrono::duration_cast<std::chrono::milliseconds>(
       Now.Steady - this->ClockReadAt);
-  if (Since > this->Options.ClockReadFor)
+  if (Since > this->Options.MaxClockReadingAge)
     Since = {};
   return this->ClockRead + Since +
          std::chrono::floor<std::chrono::milliseconds>(Ends - Now.Steady);
@@ -128,12 +128,13 @@
 
 void WorkerSession::callStop(const RunKey &Key, Run &Known, Instant Now) {
   Known.State = Phase::Stopping;
-  Known.NextStop = Now.Steady + this->Options.StopRetry;
+  Known.NextStop = Now.Steady + this->Options.StopRetryInterval;
   this->Port.stop({Key, this->Token});
 }
 
-void WorkerSession::onStartReply(const WorkerLife &Life, const RunKey &Key,
-                                 const WorkerReply &Reply, Instant Now) {
+void WorkerSession::onStartReply(const WorkerIncarnation &Life,
+                                 const RunKey &Key, const WorkerReply &Reply,
+                                 Instant Now) {
   if (!this->isCurrent(Life))
     return;
   if (this->isFromOtherLife(Reply)) {
@@ -175,14 +176,15 @@
                                           {"problem", Reply.Problem}});
   if (Known.State != Phase::Starting)
     return;
-  if (Known.StartsLost < this->Options.StartTries)
+  if (Known.StartsLost < this->Options.MaxStartAttempts)
     this->callStart(Key, Known, Now);
   else
     this->callStop(Key, Known, Now);
 }
 
-void WorkerSession::onStopReply(const WorkerLife &Life, const RunKey &Key,
-                                const WorkerReply &Reply, Instant Now) {
+void WorkerSession::onStopReply(const WorkerIncarnation &Life,
+                                const RunKey &Key, const WorkerReply &Reply,
+                                Instant Now) {
   if (!this->isCurrent(Life))
     return;
   if (this->isFromOtherLife(Reply)) {
@@ -201,19 +203,20 @@
     return;
   // A run that did begin is listed as ended before its room is free.
   Run &Known = Found->second;
-  Known.NextStop = Now.Steady + this->Options.ConfirmedStopRetry;
+  Known.NextStop = Now.Steady + this->Options.ConfirmedStopRetryInterval;
   Known.StopConfirmedAt = std::min(Known.StopConfirmedAt, Now.Steady);
   // One that never began is not listed as ended, nor legibly one whose end
   // could not be read.
   bool NotTold = Known.StartsLost > 0 || Known.EndUnread;
   if (NotTold && Known.StoppedAt == TimePoint::max())
-    Known.StoppedAt = Now.Steady + this->Options.StopTakes;
+    Known.StoppedAt = Now.Steady + this->Options.MaxStopDuration;
 }
 
 bool WorkerSession::hasStopped(const RunKey &Key, Instant Now) const {
   auto Found = this->Runs.find(Key);
   return Found != this->Runs.end() &&
-         Found->second.StopConfirmedAt <= Now.Steady - this->Options.StopTakes;
+         Found->second.StopConfirmedAt <=
+             Now.Steady - this->Options.MaxStopDuration;
 }
 
 void WorkerSession::refuse(const RunKey &Key, WorkerRefusal Why, Instant Now) {
@@ -221,7 +224,7 @@
   this->Events.onRunRefused(Key, Why, Now);
 }
 
-void WorkerSession::end(const RunKey &Key, RunEnd How, Instant Now) {
+void WorkerSession::end(const RunKey &Key, RunOutcome How, Instant Now) {
   this->Runs.erase(Key);
   this->Events.onRunEnded(Key, How, Now);
 }
@@ -236,7 +239,7 @@
   if (this->Runs.empty())
     return this->Options.IdleHoldWait;
   bool Lossy = this->LastLoss != TimePoint::min() &&
-               Now.Steady - this->LastLoss < this->Options.LossMemory;
+               Now.Steady - this->LastLoss < this->Options.LossWindow;
   return Lossy ? this->Options.HoldWaitAfterLoss : this->Options.HoldWait;
 }
 
@@ -265,7 +268,7 @@
     this->callHold({}, Now);
 }
 
-void WorkerSession::onHoldReply(const WorkerLife &Life,
+void WorkerSession::onHoldReply(const WorkerIncarnation &Life,
                                 const WorkerReply &Reply, Instant Now) {
   if (!this->isCurrent(Life))
     return;
@@ -295,7 +298,7 @@
     this->adoptStrangers(Reply, Now);
   // The worker tells an end that is not acknowledged at once, in each reply.
   if (this->BadEndsSince)
-    this->NextHold = Now.Steady + this->Options.HoldRetry;
+    this->NextHold = Now.Steady + this->Options.HoldRetryInterval;
   else if (this->HoldsOut == 0)
     this->callHold(this->holdWait(Now), Now);
 }
@@ -336,8 +339,9 @@
       this->BadEndsUpTo = std::max(this->BadEndsUpTo, Ended.Number);
   }
   // Which run is meant cannot be told without all of the other list.
-  bool Old = Now.Steady - *this->BadEndsSince >= this->Options.BadEndsPatience;
-  if (!Old || Reply.BadRunning > 0 || this->stopUnlisted(Reply, Now))
+  bool Old =
+      Now.Steady - *this->BadEndsSince >= this->Options.UnreadableEndsTimeout;
+  if (!Old || Reply.UnreadableRunning > 0 || this->stopUnlisted(Reply, Now))
     return;
   // Kept for longer, such ends would fill the list that a worker gives, and
   // hide later ones.
@@ -361,17 +365,18 @@
 }
 
 void WorkerSession::logBadRows(const WorkerReply &Reply, Instant Now) {
-  if (Reply.BadRows == 0 || Now.Steady < this->NextBadRowsLog)
+  if (Reply.UnreadableRows == 0 || Now.Steady < this->NextBadRowsLog)
     return;
-  this->NextBadRowsLog = Now.Steady + this->Options.BadRowsLogEvery;
-  this->Log.decision("reply_rows_skipped", {{"worker", this->Profile->Id},
-                                            {"rows", Reply.BadRows},
-                                            {"running", Reply.BadRunning},
-                                            {"ends_read", Reply.Ended.size()}});
+  this->NextBadRowsLog = Now.Steady + this->Options.UnreadableRowsLogInterval;
+  this->Log.decision("reply_rows_skipped",
+                     {{"worker", this->Profile->Id},
+                      {"rows", Reply.UnreadableRows},
+                      {"running", Reply.UnreadableRunning},
+                      {"ends_read", Reply.Ended.size()}});
 }
 
 void WorkerSession::onHoldFailed(const WorkerReply &Reply, Instant Now) {
-  this->NextHold = Now.Steady + this->Options.HoldRetry;
+  this->NextHold = Now.Steady + this->Options.HoldRetryInterval;
   if (Reply.Refusal == WorkerRefusal::Fenced) {
     this->raiseToken(Now);
     return;
@@ -379,7 +384,7 @@
   this->InDoubt = true;
   if (!Reply.Answered)
     this->noteUnanswered(Now);
-  bool Silent = Now.Steady - this->LastAnswer >= this->Options.SilentAfter;
+  bool Silent = Now.Steady - this->LastAnswer >= this->Options.SilenceTimeout;
   if (!this->Answering || !Silent)
     return;
   this->Answering = false;
@@ -406,14 +411,14 @@
 }
 
 bool WorkerSession::mayHaveUnknownRuns(const WorkerReply &Reply, Instant Now) {
-  if (Reply.BadRunning == 0)
+  if (Reply.UnreadableRunning == 0)
     return false;
   if (!this->BadRunningSince)
     this->BadRunningSince = Now.Steady;
   // They cannot be stopped by name, and would go on under the leases that a
   // ready worker is given. Without any, they lapse.
   return Now.Steady - *this->BadRunningSince <
-         this->Options.Lease + this->Options.LapseSlack;
+         this->Options.Lease + this->Options.LeaseExpiryMargin;
 }
 
 void WorkerSession::tick(Instant Now) {
@@ -424,7 +429,7 @@
   this->renewIfDue(Now);
   bool HasRuns = !this->Runs.empty() || !this->Inherited.empty();
   bool Lapsed = this->InDoubt && HasRuns &&
-                Now.Steady >= this->LeaseEnds + this->Options.LapseSlack;
+                Now.Steady >= this->LeaseEnds + this->Options.LeaseExpiryMargin;
   if (Lapsed) {
     for (const auto &[Key, Known] : this->Runs)
       this->LapsedUnheard[Key] = Known.CalledAt;
@@ -443,7 +448,7 @@
   }
   for (const RunKey &Key : Stopped) {
     bool Unread = this->Runs.at(Key).EndUnread;
-    this->end(Key, Unread ? RunEnd::Other : RunEnd::Unanswered, Now);
+    this->end(Key, Unread ? RunOutcome::Other : RunOutcome::Unanswered, Now);
   }
 }
 
--- a/agent/worker_session.h
+++ b/agent/worker_session.h
@@ -40,39 +40,39 @@
   std::chrono::milliseconds FirstHoldWait{20};
   /// How often a start is sent before its run is stopped. Where half of the
   /// calls are lost, three leave one in eight without a reply.
-  std::uint32_t StartTries = 3;
+  std::uint32_t MaxStartAttempts = 3;
   /// How long a call for ends may wait after a call stayed without a reply: a
   /// lost reply then hides an end for a shorter time.
   std::chrono::milliseconds HoldWaitAfterLoss{40};
   /// For how long after a lost call that holds; calls are lost for seconds.
-  std::chrono::milliseconds LossMemory{2000};
+  std::chrono::milliseconds LossWindow{2000};
   /// Before a stop without a reply is sent again.
-  std::chrono::milliseconds StopRetry{50};
+  std::chrono::milliseconds StopRetryInterval{50};
   /// A confirmed stop has ended its run within this.
-  std::chrono::milliseconds StopTakes{100};
+  std::chrono::milliseconds MaxStopDuration{100};
   /// Added to a lease before it is taken to have lapsed at a worker whose
   /// clock may be 2 % slow, that ends its runs a little later, and that may
   /// have been asked for more than the longest lease it grants, 100 ms above
   /// ours.
-  std::chrono::milliseconds LapseSlack{150};
+  std::chrono::milliseconds LeaseExpiryMargin{150};
   /// How long a reading of the worker's clock is carried on by ours: longer
   /// than a call for ends takes. Of the time in between the worker's host may
   /// have been suspended, or ours, and a lease by a clock that ran ahead would
   /// be the longest that the worker grants instead of the one asked for.
-  std::chrono::milliseconds ClockReadFor{4000};
+  std::chrono::milliseconds MaxClockReadingAge{4000};
   /// Before a confirmed stop, whose end has not been told, is sent again.
-  std::chrono::milliseconds ConfirmedStopRetry{1000};
+  std::chrono::milliseconds ConfirmedStopRetryInterval{1000};
   /// A worker that has answered nothing for this long gets no tasks. Several
   /// calls: single ones may stay without a reply at a worker that is sound.
-  std::chrono::milliseconds SilentAfter{600};
+  std::chrono::milliseconds SilenceTimeout{600};
   /// Before a failed call for ends is made again, or one whose reply had an end
   /// that could not be read.
-  std::chrono::milliseconds HoldRetry{20};
+  std::chrono::milliseconds HoldRetryInterval{20};
   /// How long ends that cannot be read are waited for: longer than the longest
   /// call for ends takes, so that a later reply has told them again.
-  std::chrono::milliseconds BadEndsPatience{3000};
+  std::chrono::milliseconds UnreadableEndsTimeout{3000};
   /// Rows that cannot be read are logged at most this often.
-  std::chrono::milliseconds BadRowsLogEvery{1000};
+  std::chrono::milliseconds UnreadableRowsLogInterval{1000};
 };
 
 /// Hears what becomes of runs. Each run that was started ends in one call.
@@ -82,7 +82,7 @@
   /// Proof that the run has not begun and will not.
   virtual void onRunRefused(const RunKey &Run, WorkerRefusal Why,
                             Instant Now) = 0;
-  virtual void onRunEnded(const RunKey &Run, RunEnd How, Instant Now) = 0;
+  virtual void onRunEnded(const RunKey &Run, RunOutcome How, Instant Now) = 0;
   /// The agent now speaks to another life of the worker; what ran in the last
   /// one is told as ended next.
   virtual void onWorkerAttached(Instant Now) = 0;
@@ -97,7 +97,9 @@
   virtual void onWorkerSilent(Instant Now) = 0;
   /// Until when all runs may go on. The worker's lease is never extended beyond
   /// it, so that they end then whatever becomes of the agent and of its stops.
-  virtual TimePoint runsEndBy(Instant Now) const { return TimePoint::max(); }
+  virtual TimePoint maxWorkerLeaseEnd(Instant Now) const {
+    return TimePoint::max();
+  }
 };
 
 class WorkerSession {
@@ -122,11 +124,11 @@
   void start(const RunKey &Run, const std::string &Spec, Instant Now);
   void stop(const RunKey &Run, Instant Now);
 
-  void onStartReply(const WorkerLife &Life, const RunKey &Run,
+  void onStartReply(const WorkerIncarnation &Life, const RunKey &Run,
                     const WorkerReply &Reply, Instant Now);
-  void onStopReply(const WorkerLife &Life, const RunKey &Run,
+  void onStopReply(const WorkerIncarnation &Life, const RunKey &Run,
                    const WorkerReply &Reply, Instant Now);
-  void onHoldReply(const WorkerLife &Life, const WorkerReply &Reply,
+  void onHoldReply(const WorkerIncarnation &Life, const WorkerReply &Reply,
                    Instant Now);
   void tick(Instant Now);
 
@@ -138,7 +140,7 @@
   /// has not been told yet.
   bool hasStopped(const RunKey &Run, Instant Now) const;
   /// Whether the worker's last reply came in time; else it may be gone.
-  bool isHeard() const { return this->Ready && !this->InDoubt; }
+  bool isResponsive() const { return this->Ready && !this->InDoubt; }
 
 private:
   enum class Phase { Starting, Running, Stopping };
@@ -186,7 +188,7 @@
   TimePoint nextLeaseEnd(Instant Now) const;
   /// The same, on the worker's clock, for a call that goes out.
   WorkerTime extendLease(Instant Now);
-  bool isCurrent(const WorkerLife &Life) const;
+  bool isCurrent(const WorkerIncarnation &Life) const;
   void raiseToken(Instant Now);
   void callHold(std::chrono::milliseconds Wait, Instant Now);
   std::chrono::milliseconds holdWait(Instant Now) const;
@@ -210,7 +212,7 @@
   void adoptStrangers(const WorkerReply &Reply, Instant Now);
   /// Whether runs that could not be read may still be alive.
   bool mayHaveUnknownRuns(const WorkerReply &Reply, Instant Now);
-  void end(const RunKey &Key, RunEnd How, Instant Now);
+  void end(const RunKey &Key, RunOutcome How, Instant Now);
   void refuse(const RunKey &Key, WorkerRefusal Why, Instant Now);
 
   SessionOptions Options;
@@ -263,7 +265,7 @@
 
 /// A refusal's and an end's name in logs.
 const char *refusalName(WorkerRefusal Refusal);
-const char *runEndName(RunEnd End);
+const char *runOutcomeName(RunOutcome End);
 
 } // namespace yardwheel
 
--- a/agent/worker_session_lives.cpp
+++ b/agent/worker_session_lives.cpp
@@ -17,7 +17,7 @@
 } // namespace
 
 void WorkerSession::onProfile(const WorkerProfile &New, Instant Now) {
-  if (this->Profile && isSameLife(this->Profile->life(), New.life())) {
+  if (this->Profile && isSameIncarnation(this->Profile->life(), New.life())) {
     if (this->Announced)
       this->refresh(New, Now);
     else
@@ -37,7 +37,7 @@
   this->Profile = New;
   this->Port.attach(New);
   this->Log.decision("worker_announced", {{"worker", New.Id},
-                                          {"born", New.Born.value_or(0)},
+                                          {"born", New.StartUnixMs.value_or(0)},
                                           {"address", New.Address},
                                           {"cpu_milli", New.Room.cpu_milli()}});
   this->Events.onRoomChanged(Now);
@@ -68,7 +68,7 @@
 
 void WorkerSession::addCandidate(const WorkerProfile &New) {
   auto IsNew = [&](const WorkerProfile &Known) {
-    return isSameLife(Known.life(), New.life());
+    return isSameIncarnation(Known.life(), New.life());
   };
   auto Known = std::ranges::find_if(this->Candidates, IsNew);
   if (Known != this->Candidates.end() && Known->Sequence > New.Sequence)
@@ -80,21 +80,21 @@
 }
 
 bool WorkerSession::isFromOtherLife(const WorkerReply &Reply) const {
-  return Reply.Answered && Reply.Born && this->Profile->Born &&
-         *Reply.Born != *this->Profile->Born;
+  return Reply.Answered && Reply.StartUnixMs && this->Profile->StartUnixMs &&
+         *Reply.StartUnixMs != *this->Profile->StartUnixMs;
 }
 
 void WorkerSession::replaceLife(const WorkerReply &Reply, Instant Now) {
-  WorkerLife Present{this->Profile->Id, Reply.Born};
+  WorkerIncarnation Present{this->Profile->Id, Reply.StartUnixMs};
   auto Known =
       std::ranges::find_if(this->Candidates, [&](const WorkerProfile &Each) {
-        return isSameLife(Each.life(), Present);
+        return isSameIncarnation(Each.life(), Present);
       });
   bool HasAnnounced = Known != this->Candidates.end();
   // Until it announces itself, where it was found.
   WorkerProfile Next = HasAnnounced ? *Known : *this->Profile;
   if (!HasAnnounced) {
-    Next.Born = Reply.Born;
+    Next.StartUnixMs = Reply.StartUnixMs;
     Next.Sequence = 0;
     Next.Draining = false;
   }
@@ -110,7 +110,8 @@
 
 void WorkerSession::judgeCandidates(const WorkerReply &Reply, Instant Now) {
   bool Lives = Reply.Answered && Reply.Refusal == WorkerRefusal::None;
-  bool Replaced = Reply.Answered && Reply.Refusal == WorkerRefusal::OtherLife;
+  bool Replaced =
+      Reply.Answered && Reply.Refusal == WorkerRefusal::OtherIncarnation;
   // No life of an id is there where another id is; and without an answer
   // nothing is known of which one is.
   auto IsOut = [&](const WorkerProfile &Each) {
@@ -124,9 +125,9 @@
       this->Log.decision(
           "announcement_ignored",
           {{"worker", Late.Id},
-           {"born", Late.Born.value_or(0)},
+           {"born", Late.StartUnixMs.value_or(0)},
            {"alive", this->Profile->Id},
-           {"alive_born", this->Profile->Born.value_or(0)},
+           {"alive_born", this->Profile->StartUnixMs.value_or(0)},
            {"reason", "the present life of the worker replies"}});
     this->Candidates.clear();
   } else if (Next != this->Candidates.end() &&
@@ -179,7 +180,7 @@
   std::uint64_t DayTime = static_cast<std::uint64_t>(toUnixMillis(Now.Wall));
   this->Token = std::max(this->Token + 1, DayTime);
   this->Log.decision("worker_attached", {{"worker", New.Id},
-                                         {"born", New.Born.value_or(0)},
+                                         {"born", New.StartUnixMs.value_or(0)},
                                          {"address", New.Address},
                                          {"pool", New.Pool},
                                          {"cpu_milli", New.Room.cpu_milli()},
@@ -203,7 +204,7 @@
     // carried out by the present life, and its end acknowledged unread.
     bool RanOnlyThere = Known.Listed && Known.StartsLost == 0;
     this->Events.onRunEnded(
-        Key, RanOnlyThere ? RunEnd::Lapsed : RunEnd::Unknown, Now);
+        Key, RanOnlyThere ? RunOutcome::Lapsed : RunOutcome::Unknown, Now);
   }
 }
 
@@ -211,12 +212,12 @@
   std::map<RunKey, Run> Lost;
   std::swap(Lost, this->Runs);
   for (const auto &[Key, Known] : Lost)
-    this->Events.onRunEnded(Key, RunEnd::Lapsed, Now);
+    this->Events.onRunEnded(Key, RunOutcome::Lapsed, Now);
   this->settleInherited(Now);
 }
 
-bool WorkerSession::isCurrent(const WorkerLife &Life) const {
-  return this->Profile && isSameLife(this->Profile->life(), Life);
+bool WorkerSession::isCurrent(const WorkerIncarnation &Life) const {
+  return this->Profile && isSameIncarnation(this->Profile->life(), Life);
 }
 
 } // namespace yardwheel
--- a/emulator/leased_agent.h
+++ b/emulator/leased_agent.h
@@ -82,7 +82,7 @@
   std::mt19937_64 Random;
   VirtualWorker Worker;
   /// The life of the worker that the agent speaks to.
-  WorkerLife Attached;
+  WorkerIncarnation Attached;
   std::uint64_t Life = 0;
   WorkerCallFaults Faults;
   std::unique_ptr<LeaseKeeper> Keeper;
--- a/emulator/virtual_worker.cpp
+++ b/emulator/virtual_worker.cpp
@@ -59,7 +59,7 @@
       First ? this->Name : fmt::format("{}-{}", this->Name, this->Lives);
   this->Profile.Id = this->Options.KeepsId ? this->Name : this->LifeName;
   if (this->Options.KeepsId)
-    this->Profile.Born =
+    this->Profile.StartUnixMs =
         static_cast<std::uint64_t>(toUnixMillis(this->World.now().Wall));
   this->Profile.Sequence = 0;
   this->Started = this->World.now().Steady;
@@ -87,7 +87,7 @@
     return Reply;
   Reply.Clock = this->clock();
   if (Id != this->Profile.Id)
-    Reply.Refusal = WorkerRefusal::OtherLife;
+    Reply.Refusal = WorkerRefusal::OtherIncarnation;
   return Reply;
 }
 
@@ -124,7 +124,7 @@
   }
   while (!this->Alive.empty()) {
     RunKey First = this->Alive.begin()->first;
-    this->end(First, RunEnd::Lapsed);
+    this->end(First, RunOutcome::Lapsed);
   }
 }
 
@@ -138,7 +138,7 @@
   if (Reply.Refusal != WorkerRefusal::None)
     return Reply;
   if (Call.LeaseUntil <= this->clock()) {
-    Reply.Refusal = WorkerRefusal::LeaseOver;
+    Reply.Refusal = WorkerRefusal::LeaseExpired;
     return Reply;
   }
   // Also a start that is refused as old brings its lease.
@@ -147,7 +147,7 @@
     return Reply;
   auto Over = this->LastOver.find({Call.Run.Job, Call.Run.Index});
   if (Over != this->LastOver.end() && Call.Run.Run <= Over->second)
-    Reply.Refusal = WorkerRefusal::OldRun;
+    Reply.Refusal = WorkerRefusal::StaleRun;
   else
     this->begin(Call);
   Reply.Answered = this->Up;
@@ -172,7 +172,7 @@
   this->World.after(std::chrono::milliseconds(Takes),
                     [this, Run = Call.Run, Life = this->Lives] {
                       if (this->Up && Life == this->Lives)
-                        this->end(Run, RunEnd::Stopped);
+                        this->end(Run, RunOutcome::Stopped);
                     });
   return Reply;
 }
@@ -217,7 +217,7 @@
   if (Due.empty())
     return;
   WorkerReply Reply = this->reply(this->Profile.Id);
-  Reply.Born = this->Profile.Born;
+  Reply.StartUnixMs = this->Profile.StartUnixMs;
   for (const auto &[Key, Known] : this->Alive)
     Reply.Running.push_back(Key);
   Reply.Ended = {this->Ended.begin(), this->Ended.end()};
@@ -240,16 +240,16 @@
   this->lapseLater();
   this->World.after(Read.Length, [this, Key, Life = this->Lives] {
     if (this->Up && Life == this->Lives)
-      this->end(Key, RunEnd::Done);
+      this->end(Key, RunOutcome::Done);
   });
 }
 
-void VirtualWorker::end(const RunKey &Key, RunEnd How) {
+void VirtualWorker::end(const RunKey &Key, RunOutcome How) {
   if (this->Alive.erase(Key) == 0)
     return;
   std::uint64_t &Over = this->LastOver[{Key.Job, Key.Index}];
   Over = std::max(Over, Key.Run);
-  this->Runs.end(this->LifeName, Key, runEndName(How),
+  this->Runs.end(this->LifeName, Key, runOutcomeName(How),
                  this->World.now().Steady);
   this->Ended.push_back({++this->LastEnd, Key, How});
   this->answerHolds();
--- a/emulator/virtual_worker.h
+++ b/emulator/virtual_worker.h
@@ -88,7 +88,7 @@
   void lapseLater();
   void lapseIfDue();
   void begin(const StartCall &Call);
-  void end(const RunKey &Run, RunEnd How);
+  void end(const RunKey &Run, RunOutcome How);
   void restart();
   void beginLife();
   /// Answers each of the calls that wait.
--- a/entry/job_runner.cpp
+++ b/entry/job_runner.cpp
@@ -377,7 +377,7 @@
   if (Owner.Phase == JobPhase::Finished)
     return;
   // News that was merely old costs no retry: the answer brought newer.
-  if (Update.reason() == StaleNews)
+  if (Update.reason() == StaleLoad)
     Place.Queue.push(Owner.Request.Workspace, Owner.Rank, Owner.Number, Index);
   else
     this->resend(Owner, Index, Update.reason(), Now);
--- a/main/lease_agent_process.cpp
+++ b/main/lease_agent_process.cpp
@@ -45,14 +45,14 @@
   void onMember(const peer::Member &, Instant) override {}
   void onOutranked(std::uint64_t Known, Instant Now) override;
 
-  void onStart(const WorkerLife &Life, const RunKey &Run,
+  void onStart(const WorkerIncarnation &Life, const RunKey &Run,
                WorkerReply Reply) override;
-  void onStop(const WorkerLife &Life, const RunKey &Run,
+  void onStop(const WorkerIncarnation &Life, const RunKey &Run,
               WorkerReply Reply) override;
-  void onHold(const WorkerLife &Life, WorkerReply Reply) override;
+  void onHold(const WorkerIncarnation &Life, WorkerReply Reply) override;
 
   void onAnnounced(const WorkerProfile &Profile) override;
-  void onLeft(const WorkerLife &Life) override;
+  void onLeft(const WorkerIncarnation &Life) override;
 
 private:
   KeeperOptions keeperOptions() const;
@@ -124,7 +124,7 @@
   Options.EntryLease =
       std::max(Times.ResubmitAfter - Times.WorkerStop - ResubmitMargin,
                2 * CoordinatorRenewal);
-  Options.Session.StopTakes = 2 * Times.WorkerStop;
+  Options.Session.MaxStopDuration = 2 * Times.WorkerStop;
   Options.Session.Lease = Times.MaxWorkerLease * WorkerLeasePercent / Percent;
   return Options;
 }
@@ -179,26 +179,26 @@
 }
 
 void LeaseAgentProcess::onOutranked(std::uint64_t Known, Instant Now) {
-  this->Keeper.outrank(Known);
+  this->Keeper.raiseIncarnationAbove(Known);
   this->announceChanges(Now);
 }
 
-void LeaseAgentProcess::onLeft(const WorkerLife &Life) {
+void LeaseAgentProcess::onLeft(const WorkerIncarnation &Life) {
   this->Node.loop().post([this, Life](Instant Now) {
     this->Keeper.onWorkerLeft(Life, Now);
     this->announceChanges(Now);
   });
 }
 
-void LeaseAgentProcess::onStart(const WorkerLife &Life, const RunKey &Run,
-                                WorkerReply Reply) {
+void LeaseAgentProcess::onStart(const WorkerIncarnation &Life,
+                                const RunKey &Run, WorkerReply Reply) {
   this->Node.loop().post([this, Life, Run, Reply](Instant Now) {
     this->Keeper.session().onStartReply(Life, Run, Reply, Now);
     this->announceChanges(Now);
   });
 }
 
-void LeaseAgentProcess::onStop(const WorkerLife &Life, const RunKey &Run,
+void LeaseAgentProcess::onStop(const WorkerIncarnation &Life, const RunKey &Run,
                                WorkerReply Reply) {
   this->Node.loop().post([this, Life, Run, Reply](Instant Now) {
     this->Keeper.session().onStopReply(Life, Run, Reply, Now);
@@ -206,7 +206,8 @@
   });
 }
 
-void LeaseAgentProcess::onHold(const WorkerLife &Life, WorkerReply Reply) {
+void LeaseAgentProcess::onHold(const WorkerIncarnation &Life,
+                               WorkerReply Reply) {
   this->Node.loop().post([this, Life, Reply](Instant Now) {
     this->Keeper.session().onHoldReply(Life, Reply, Now);
     // The reply may settle which life of the worker is the present one.
--- a/tests/agent/keeper_fixture.h
+++ b/tests/agent/keeper_fixture.h
@@ -56,7 +56,7 @@
 };
 
 /// The agent's own life, by which messages name it.
-constexpr std::uint64_t AgentLife = 7;
+constexpr std::uint64_t AgentIncarnation = 7;
 inline const PeerRef EntryA{"entry-a", "10.0.0.1:1"};
 inline const PeerRef EntryB{"entry-b", "10.0.0.2:1"};
 inline constexpr std::chrono::milliseconds TickEvery{20};
@@ -66,8 +66,8 @@
 /// echoes, as they should, or from its message's arrival.
 inline KeeperOptions optionsWith(bool CountFromEcho) {
   KeeperOptions Options;
-  Options.Incarnation = AgentLife;
-  Options.LeasesCountFromEcho = CountFromEcho;
+  Options.Incarnation = AgentIncarnation;
+  Options.LeasesCountFromStamp = CountFromEcho;
   return Options;
 }
 
@@ -97,7 +97,7 @@
     peer::Message Message;
     peer::LeasedDispatch *Order = Message.mutable_leased_dispatch();
     Order->set_job(Job);
-    Order->set_agent_incarnation(AgentLife);
+    Order->set_agent_incarnation(AgentIncarnation);
     Order->set_stamp(Stamp);
     Order->set_start_by_ms(StartByMs);
     Order->set_give_up_ms(2000);
@@ -115,7 +115,7 @@
     peer::Message Message;
     peer::LeasedInterest *Told = Message.mutable_leased_interest();
     Told->set_job(Job);
-    Told->set_agent_incarnation(AgentLife);
+    Told->set_agent_incarnation(AgentIncarnation);
     Told->mutable_needs()->set_cpu_milli(1000);
     Told->set_tasks(Tasks);
     Told->set_start_by_ms(StartByMs);
@@ -130,7 +130,7 @@
   peer::Message renewal(std::uint64_t Stamp) {
     peer::Message Message;
     peer::LeaseRenewal *Renewal = Message.mutable_lease_renewal();
-    Renewal->set_agent_incarnation(AgentLife);
+    Renewal->set_agent_incarnation(AgentIncarnation);
     Renewal->set_stamp(Stamp);
     for (std::uint64_t Order = 1; Order <= this->LastOrder; ++Order)
       Renewal->add_orders(Order);
@@ -143,7 +143,7 @@
       Keeper.tick(this->Now);
     }
   }
-  void end(LeaseKeeper &Keeper, std::size_t Start, RunEnd How) {
+  void end(LeaseKeeper &Keeper, std::size_t Start, RunOutcome How) {
     WorkerReply Reply;
     Reply.Answered = true;
     Reply.Ended.push_back({++this->Ends, this->Port.Starts[Start].Run, How});
--- a/tests/agent/keeper_news_test.cpp
+++ b/tests/agent/keeper_news_test.cpp
@@ -14,10 +14,10 @@
   LeaseKeeper Keeper(optionsWith(true), Sink, Port);
   attach(Keeper);
   Keeper.onMessage(EntryA, dispatch("j", stamp(), 1000, 100, 3), Now);
-  end(Keeper, 0, RunEnd::Done);
-  end(Keeper, 1, RunEnd::Done);
+  end(Keeper, 0, RunOutcome::Done);
+  end(Keeper, 1, RunOutcome::Done);
   LONGS_EQUAL(0, Sink.Updates.size());
-  end(Keeper, 2, RunEnd::Done);
+  end(Keeper, 2, RunOutcome::Done);
   LONGS_EQUAL(3, Sink.Updates.size());
 }
 
@@ -30,7 +30,7 @@
   const Row Rows[] = {
       {"time", [&](LeaseKeeper &Keeper) { pass(Keeper, 60ms); }, 1},
       {"a failure",
-       [&](LeaseKeeper &Keeper) { end(Keeper, 1, RunEnd::Failed); }, 2},
+       [&](LeaseKeeper &Keeper) { end(Keeper, 1, RunOutcome::Failed); }, 2},
       {"a renewal",
        [&](LeaseKeeper &Keeper) {
          Keeper.onMessage(EntryA, renewal(stamp()), Now);
@@ -42,7 +42,7 @@
     LeaseKeeper Keeper(optionsWith(true), Sink, Port);
     attach(Keeper);
     Keeper.onMessage(EntryA, dispatch("j", stamp(), 1000, 100, 3), Now);
-    end(Keeper, 0, RunEnd::Done);
+    end(Keeper, 0, RunOutcome::Done);
     LONGS_EQUAL_TEXT(0, Sink.Updates.size(), Row.Name);
     Row.Prompt(Keeper);
     LONGS_EQUAL_TEXT(Row.Updates, Sink.Updates.size(), Row.Name);
@@ -54,7 +54,7 @@
   LeaseKeeper Keeper(optionsWith(true), Sink, Port);
   attach(Keeper);
   Keeper.onMessage(EntryA, dispatch("j", stamp()), Now);
-  end(Keeper, 0, RunEnd::Done);
+  end(Keeper, 0, RunOutcome::Done);
   auto Sent = std::make_shared<peer::Envelope>();
   *Sent->add_messages()->mutable_leased_update() = Sink.Updates.back();
   Sent->add_messages()->mutable_worker_load();
@@ -70,17 +70,17 @@
 
 TEST(KeeperNewsTest, EveryEndIsToldOnce) {
   struct Row {
-    RunEnd How;
+    RunOutcome How;
     peer::LeasedEvent Expected;
     peer::LeasedRefusal Blame = peer::REFUSAL_NONE;
   };
   const Row Rows[] = {
-      {RunEnd::Done, peer::LEASED_DONE},
-      {RunEnd::Failed, peer::LEASED_FAILED},
-      {RunEnd::Stopped, peer::LEASED_ENDED_EARLY},
-      {RunEnd::Lapsed, peer::LEASED_ENDED_EARLY},
-      {RunEnd::Unanswered, peer::LEASED_ENDED_EARLY, peer::REFUSAL_WORKER},
-      {RunEnd::Other, peer::LEASED_ENDED_EARLY}};
+      {RunOutcome::Done, peer::LEASED_DONE},
+      {RunOutcome::Failed, peer::LEASED_FAILED},
+      {RunOutcome::Stopped, peer::LEASED_ENDED_EARLY},
+      {RunOutcome::Lapsed, peer::LEASED_ENDED_EARLY},
+      {RunOutcome::Unanswered, peer::LEASED_ENDED_EARLY, peer::REFUSAL_WORKER},
+      {RunOutcome::Other, peer::LEASED_ENDED_EARLY}};
   LeaseKeeper Keeper(optionsWith(true), Sink, Port);
   attach(Keeper);
   std::size_t Start = 0;
@@ -103,7 +103,7 @@
   Keeper.onMessage(EntryB, interest("later", 1, 90), Now);
   Keeper.onMessage(EntryB, interest("urgent", 1, 80), Now);
   LONGS_EQUAL(0, Sink.Offers.size());
-  end(Keeper, 0, RunEnd::Done);
+  end(Keeper, 0, RunOutcome::Done);
   LONGS_EQUAL(1, Sink.Offers.size());
   STRCMP_EQUAL("urgent", Sink.Offers[0].job().c_str());
   // Its room is held: nothing else starts in it.
--- a/tests/agent/lease_keeper_test.cpp
+++ b/tests/agent/lease_keeper_test.cpp
@@ -146,7 +146,7 @@
   LONGS_EQUAL(2, Port.Starts.size());
   const char *Expected[] = {"urgent", "calm", "late"};
   for (std::size_t I = 0; I < 3; ++I) {
-    end(Keeper, I, RunEnd::Done);
+    end(Keeper, I, RunOutcome::Done);
     LONGS_EQUAL(3 + I, Port.Starts.size());
     STRCMP_EQUAL(Expected[I], Port.Starts.back().Run.Job.c_str());
   }
@@ -177,14 +177,14 @@
 TEST(LeaseKeeperTest, ADispatchThatIsSentAgainStartsNothingAgain) {
   struct Row {
     const char *Name;
-    RunEnd How;
+    RunOutcome How;
     bool Ends;
     bool Leaves;
   };
-  const Row Rows[] = {{"it runs", RunEnd::Done, false, false},
-                      {"it is done", RunEnd::Done, true, false},
-                      {"it has failed", RunEnd::Failed, true, false},
-                      {"it was not started", RunEnd::Done, false, true}};
+  const Row Rows[] = {{"it runs", RunOutcome::Done, false, false},
+                      {"it is done", RunOutcome::Done, true, false},
+                      {"it has failed", RunOutcome::Failed, true, false},
+                      {"it was not started", RunOutcome::Done, false, true}};
   for (const Row &Row : Rows) {
     Port.Starts.clear();
     LeaseKeeper Keeper(optionsWith(true), Sink, Port);
@@ -212,7 +212,7 @@
   Keeper.onMessage(EntryA, renewal(stamp()), Now);
   CHECK(Sink.Load.lists_held());
   LONGS_EQUAL(2, Sink.Load.held_orders_size());
-  end(Keeper, 0, RunEnd::Done);
+  end(Keeper, 0, RunOutcome::Done);
   Keeper.onMessage(EntryA, renewal(stamp()), Now);
   LONGS_EQUAL(1, Sink.Load.held_orders_size());
   LONGS_EQUAL(LastOrder, Sink.Load.held_orders(0));
@@ -222,39 +222,39 @@
 TEST(LeaseKeeperTest, EachLifeOfTheWorkerHasANumberOfItsOwn) {
   LeaseKeeper Keeper(optionsWith(true), Sink, Port);
   attach(Keeper);
-  LONGS_EQUAL(AgentLife, Keeper.incarnation());
+  LONGS_EQUAL(AgentIncarnation, Keeper.incarnation());
   Keeper.leave("test", Now);
   WorkerProfile Next;
   Next.Id = "w2";
   Keeper.onProfile(Next, Now);
-  LONGS_EQUAL(AgentLife, Keeper.incarnation());
+  LONGS_EQUAL(AgentIncarnation, Keeper.incarnation());
   WorkerReply Gone;
   Gone.Answered = true;
-  Gone.Refusal = WorkerRefusal::OtherLife;
+  Gone.Refusal = WorkerRefusal::OtherIncarnation;
   Keeper.session().onHoldReply({WorkerId}, Gone, Now);
-  LONGS_EQUAL(AgentLife + 1, Keeper.incarnation());
+  LONGS_EQUAL(AgentIncarnation + 1, Keeper.incarnation());
   CHECK_FALSE(Keeper.isLeaving());
 }
 
 TEST(LeaseKeeperTest, AnOutrankedAgentTakesAHigherIncarnation) {
   LeaseKeeper Keeper(optionsWith(true), Sink, Port);
   attach(Keeper);
-  Keeper.outrank(AgentLife - 1);
-  LONGS_EQUAL(AgentLife, Keeper.incarnation());
-  Keeper.outrank(AgentLife + 5);
-  LONGS_EQUAL(AgentLife + 6, Keeper.incarnation());
-  Keeper.outrank(AgentLife + 5);
-  LONGS_EQUAL(AgentLife + 6, Keeper.incarnation());
+  Keeper.raiseIncarnationAbove(AgentIncarnation - 1);
+  LONGS_EQUAL(AgentIncarnation, Keeper.incarnation());
+  Keeper.raiseIncarnationAbove(AgentIncarnation + 5);
+  LONGS_EQUAL(AgentIncarnation + 6, Keeper.incarnation());
+  Keeper.raiseIncarnationAbove(AgentIncarnation + 5);
+  LONGS_EQUAL(AgentIncarnation + 6, Keeper.incarnation());
 }
 
 TEST(LeaseKeeperTest, FailuresInARowAreCountedUntilARunIsDone) {
   struct Row {
-    RunEnd How;
+    RunOutcome How;
     std::uint32_t Expected;
   };
-  const Row Rows[] = {{RunEnd::Failed, 1},  {RunEnd::Unanswered, 2},
-                      {RunEnd::Stopped, 2}, {RunEnd::Lapsed, 2},
-                      {RunEnd::Done, 0},    {RunEnd::Failed, 1}};
+  const Row Rows[] = {{RunOutcome::Failed, 1},  {RunOutcome::Unanswered, 2},
+                      {RunOutcome::Stopped, 2}, {RunOutcome::Lapsed, 2},
+                      {RunOutcome::Done, 0},    {RunOutcome::Failed, 1}};
   LeaseKeeper Keeper(optionsWith(true), Sink, Port);
   attach(Keeper);
   std::size_t Start = 0;
@@ -276,7 +276,7 @@
   Keeper.onProfile(Draining, Now);
   LONGS_EQUAL(1, Sink.Updates.size());
   CHECK(Sink.Updates[0].refusal() == peer::REFUSAL_LEAVING);
-  end(Keeper, 0, RunEnd::Done);
+  end(Keeper, 0, RunOutcome::Done);
   Keeper.onMessage(EntryA, dispatch("new", stamp()), Now);
   CHECK(Sink.Updates.back().refusal() == peer::REFUSAL_LEAVING);
   LONGS_EQUAL(1, Port.Starts.size());
--- a/tests/agent/placement_lease_test.cpp
+++ b/tests/agent/placement_lease_test.cpp
@@ -23,7 +23,7 @@
   void renew(const std::vector<std::uint64_t> &Orders) {
     peer::Message Message;
     peer::LeaseRenewal *Renewal = Message.mutable_lease_renewal();
-    Renewal->set_agent_incarnation(AgentLife);
+    Renewal->set_agent_incarnation(AgentIncarnation);
     Renewal->set_stamp(stamp());
     Renewal->mutable_orders()->Add(Orders.begin(), Orders.end());
     Keeper.onMessage(EntryA, Message, Now);
@@ -99,7 +99,7 @@
     Waits.mutable_leased_dispatch()->set_give_up_ms(Row.GiveUpMs);
     Other.onMessage(EntryA, Waits, Now);
     Now.Steady += Row.StoodStill;
-    end(Other, 0, RunEnd::Done);
+    end(Other, 0, RunOutcome::Done);
     LONGS_EQUAL_TEXT(Row.Starts, Port.Starts.size(), Row.Name);
   }
 }
@@ -125,7 +125,7 @@
   Keeper.onMessage(EntryB, dispatch("late", stamp()), Now);
   LONGS_EQUAL(2, Port.Starts.size());
   // Once it has ended, the other goes on and the next one starts.
-  end(Keeper, 0, RunEnd::Stopped);
+  end(Keeper, 0, RunOutcome::Stopped);
   pass(Keeper, 20ms);
   LONGS_EQUAL(3, Port.Starts.size());
   CHECK(Port.LeaseUntil > EntryLease + Options.StopAllowance);
@@ -167,7 +167,7 @@
     Keeper.session().onHoldReply({WorkerId}, plainReply(), Now);
   }
   CHECK(Port.LeaseUntil <= Options.EntryLease + Options.StopAllowance);
-  end(Keeper, 0, RunEnd::Done);
+  end(Keeper, 0, RunOutcome::Done);
   LONGS_EQUAL(2, Port.Starts.size());
   CHECK(Port.Starts[1].LeaseUntil <=
         Options.EntryLease + Options.StopAllowance);
@@ -200,7 +200,7 @@
     for (int I = 0; I < 20; ++I) {
       pass(Other, 100ms);
       peer::Message Renewal;
-      Renewal.mutable_lease_renewal()->set_agent_incarnation(AgentLife);
+      Renewal.mutable_lease_renewal()->set_agent_incarnation(AgentIncarnation);
       Renewal.mutable_lease_renewal()->set_stamp(stamp());
       Renewal.mutable_lease_renewal()->add_orders(Stopped);
       if (Row.IsNamed)
--- a/tests/agent/session_recorders.h
+++ b/tests/agent/session_recorders.h
@@ -19,16 +19,16 @@
 public:
   void attach(const WorkerProfile &Profile) override {
     this->Life = Profile.Id;
-    this->Born = Profile.Born;
+    this->StartUnixMs = Profile.StartUnixMs;
   }
   void start(const StartCall &Call) override { this->Starts.push_back(Call); }
   void stop(const StopCall &Call) override { this->Stops.push_back(Call); }
   void hold(const HoldCall &Call) override { this->Holds.push_back(Call); }
-  WorkerLife life() const { return {this->Life, this->Born}; }
+  WorkerIncarnation life() const { return {this->Life, this->StartUnixMs}; }
 
   /// The id of the life that calls go to, and its time of birth.
   std::string Life;
-  std::optional<std::uint64_t> Born;
+  std::optional<std::uint64_t> StartUnixMs;
   std::vector<StartCall> Starts;
   std::vector<StopCall> Stops;
   std::vector<HoldCall> Holds;
@@ -39,7 +39,7 @@
   void onRunRefused(const RunKey &, WorkerRefusal Why, Instant) override {
     this->Refusals.push_back(Why);
   }
-  void onRunEnded(const RunKey &, RunEnd How, Instant) override {
+  void onRunEnded(const RunKey &, RunOutcome How, Instant) override {
     this->Ends.push_back(How);
   }
   void onWorkerAttached(Instant) override { ++this->Attached; }
@@ -48,11 +48,11 @@
   }
   void onWorkerReady(Instant) override { ++this->Ready; }
   void onWorkerSilent(Instant) override { ++this->Silent; }
-  TimePoint runsEndBy(Instant) const override { return this->EndBy; }
+  TimePoint maxWorkerLeaseEnd(Instant) const override { return this->EndBy; }
 
   TimePoint EndBy = TimePoint::max();
   std::vector<WorkerRefusal> Refusals;
-  std::vector<RunEnd> Ends;
+  std::vector<RunOutcome> Ends;
   /// Of each crash, the number of runs.
   std::vector<std::size_t> Crashed;
   int Attached = 0;
--- a/tests/agent/worker_lives_test.cpp
+++ b/tests/agent/worker_lives_test.cpp
@@ -15,23 +15,23 @@
 const char *const Id = "worker";
 constexpr std::uint64_t FirstBorn = 1800000000000;
 constexpr std::uint64_t SecondBorn = FirstBorn + 5000;
-const WorkerLife First{Id, FirstBorn};
-const WorkerLife Second{Id, SecondBorn};
+const WorkerIncarnation First{Id, FirstBorn};
+const WorkerIncarnation Second{Id, SecondBorn};
 
-WorkerReply replyOf(std::optional<std::uint64_t> Born,
+WorkerReply replyOf(std::optional<std::uint64_t> StartUnixMs,
                     WorkerRefusal Refusal = WorkerRefusal::None) {
   WorkerReply Reply;
   Reply.Answered = true;
   Reply.Refusal = Refusal;
-  Reply.Born = Born;
+  Reply.StartUnixMs = StartUnixMs;
   return Reply;
 }
 
-WorkerProfile profileOf(std::optional<std::uint64_t> Born,
+WorkerProfile profileOf(std::optional<std::uint64_t> StartUnixMs,
                         std::uint64_t Sequence) {
   WorkerProfile Profile;
   Profile.Id = Id;
-  Profile.Born = Born;
+  Profile.StartUnixMs = StartUnixMs;
   Profile.Sequence = Sequence;
   Profile.Clock = WorkerTime(480000);
   Profile.Room.set_cpu_milli(16000);
@@ -90,7 +90,7 @@
   Session.onProfile(New, Now);
   Session.onHoldReply(First, replyOf(SecondBorn), Now);
   LONGS_EQUAL(2, Events.Attached);
-  CHECK(Session.profile().Born == SecondBorn);
+  CHECK(Session.profile().StartUnixMs == SecondBorn);
   LONGS_EQUAL(8000, Session.profile().Room.cpu_milli());
   Session.onHoldReply(Second, replyOf(SecondBorn), Now);
   CHECK(Session.isReady());
@@ -106,7 +106,7 @@
     Late.Room.set_cpu_milli(1);
     Session.onProfile(Late, Now);
     Session.onHoldReply(First, replyOf(FirstBorn), Now);
-    CHECK(Session.profile().Born == FirstBorn);
+    CHECK(Session.profile().StartUnixMs == FirstBorn);
     CHECK_FALSE(Session.profile().Draining);
     LONGS_EQUAL(16000, Session.profile().Room.cpu_milli());
     LONGS_EQUAL(1, Events.Attached);
@@ -119,7 +119,7 @@
   Session.onProfile(profileOf(FirstBorn - 5000, 99), Now);
   Session.onHoldReply(First, WorkerReply(), Now);
   LONGS_EQUAL(1, Events.Attached);
-  pass(Options.HoldRetry);
+  pass(Options.HoldRetryInterval);
   Session.onHoldReply(First, replyOf(FirstBorn), Now);
   LONGS_EQUAL(1, Events.Attached);
   CHECK(Session.isReady());
@@ -130,7 +130,7 @@
   attachFirst();
   startRun(Run);
   WorkerReply Told = replyOf(FirstBorn);
-  Told.Ended.push_back({57, Run, RunEnd::Done});
+  Told.Ended.push_back({57, Run, RunOutcome::Done});
   Session.onHoldReply(First, Told, Now);
   LONGS_EQUAL(57, Port.Holds.back().AcknowledgedEnd);
   beReplaced();
@@ -139,7 +139,7 @@
   Run.Run = 2;
   Session.start(Run, "spec", Now);
   WorkerReply Next = replyOf(SecondBorn);
-  Next.Ended.push_back({1, Run, RunEnd::Done});
+  Next.Ended.push_back({1, Run, RunOutcome::Done});
   Session.onHoldReply(Second, Next, Now);
   LONGS_EQUAL(2, Events.Ends.size());
   LONGS_EQUAL(1, Port.Holds.back().AcknowledgedEnd);
@@ -175,7 +175,7 @@
   std::size_t Ends = Events.Ends.size();
   WorkerReply Late = replyOf(FirstBorn);
   Late.Clock = WorkerTime(999000);
-  Late.Ended.push_back({58, Run, RunEnd::Done});
+  Late.Ended.push_back({58, Run, RunOutcome::Done});
   Session.onHoldReply(First, Late, Now);
   Session.onStartReply(First, Run, replyOf({}, WorkerRefusal::NoRoom), Now);
   LONGS_EQUAL(Ends, Events.Ends.size());
@@ -193,7 +193,7 @@
   beReplaced();
   settleSecond(replyOf(SecondBorn));
   LONGS_EQUAL(1, Events.Ends.size());
-  CHECK(Events.Ends[0] == RunEnd::Lapsed);
+  CHECK(Events.Ends[0] == RunOutcome::Lapsed);
   LONGS_EQUAL(1, Events.Crashed.size());
 }
 
@@ -211,10 +211,10 @@
   LONGS_EQUAL(1, Port.Stops.size());
   CHECK(Port.Stops.back().Run == Run);
   WorkerReply Stopped = replyOf(SecondBorn);
-  Stopped.Ended.push_back({1, Run, RunEnd::Stopped});
+  Stopped.Ended.push_back({1, Run, RunOutcome::Stopped});
   Session.onHoldReply(Second, Stopped, Now);
   LONGS_EQUAL(1, Events.Ends.size());
-  CHECK(Events.Ends[0] == RunEnd::Stopped);
+  CHECK(Events.Ends[0] == RunOutcome::Stopped);
   CHECK(Session.isReady());
 }
 
@@ -227,7 +227,7 @@
   beReplaced();
   settleSecond(replyOf(SecondBorn));
   LONGS_EQUAL(1, Events.Ends.size());
-  CHECK(Events.Ends[0] == RunEnd::Unknown);
+  CHECK(Events.Ends[0] == RunOutcome::Unknown);
 }
 
 // What it is must be known from itself: another life may have another room.
@@ -251,12 +251,12 @@
 TEST(WorkerLivesTest, AnotherIdAtTheAddressRulesOutEachLifeOfThisOne) {
   attachFirst();
   Session.onProfile(profileOf(SecondBorn, 1), Now);
-  Session.onHoldReply(First, replyOf({}, WorkerRefusal::OtherLife), Now);
+  Session.onHoldReply(First, replyOf({}, WorkerRefusal::OtherIncarnation), Now);
   LONGS_EQUAL(1, Events.Attached);
   WorkerProfile Other = profileOf(SecondBorn, 1);
   Other.Id = "other";
   Session.onProfile(Other, Now);
-  Session.onHoldReply(First, replyOf({}, WorkerRefusal::OtherLife), Now);
+  Session.onHoldReply(First, replyOf({}, WorkerRefusal::OtherIncarnation), Now);
   STRCMP_EQUAL("other", Session.profile().Id.c_str());
 }
 
@@ -286,17 +286,18 @@
   }
 }
 
-TEST_GROUP_BASE(KeeperLivesTest,
-                KeeperFixture){WorkerProfile profileBorn(std::uint64_t Born){
-    WorkerProfile Profile = profileOf(Born, 1);
+TEST_GROUP_BASE(KeeperLivesTest, KeeperFixture){
+    WorkerProfile profileBorn(std::uint64_t StartUnixMs){
+        WorkerProfile Profile = profileOf(StartUnixMs, 1);
 Profile.Id = WorkerId;
 Profile.Pool = "pool";
 Profile.Room.set_memory_mb(1000);
 return Profile;
 }
-void beginLife(LeaseKeeper &Keeper, std::uint64_t Born) {
-  Keeper.onProfile(profileBorn(Born), Now);
-  Keeper.session().onHoldReply({WorkerId, Born}, replyOf(Born), Now);
+void beginLife(LeaseKeeper &Keeper, std::uint64_t StartUnixMs) {
+  Keeper.onProfile(profileBorn(StartUnixMs), Now);
+  Keeper.session().onHoldReply({WorkerId, StartUnixMs}, replyOf(StartUnixMs),
+                               Now);
   CHECK(Keeper.session().isReady());
 }
 /// Another life of the worker answers, and says what it is.
--- a/tests/agent/worker_room_test.cpp
+++ b/tests/agent/worker_room_test.cpp
@@ -49,7 +49,7 @@
     peer::Message Message;
     peer::LeasedDispatch *Order = Message.mutable_leased_dispatch();
     Order->set_job(Job);
-    Order->set_agent_incarnation(AgentLife);
+    Order->set_agent_incarnation(AgentIncarnation);
     Order->set_stamp(LeaseKeeper::stampAt(this->Now));
     Order->set_start_by_ms(500);
     Order->set_give_up_ms(2000);
@@ -68,7 +68,7 @@
     peer::Message Message;
     peer::LeasedInterest *Told = Message.mutable_leased_interest();
     Told->set_job(Job);
-    Told->set_agent_incarnation(AgentLife);
+    Told->set_agent_incarnation(AgentIncarnation);
     Told->mutable_needs()->set_cpu_milli(Core);
     Told->set_tasks(Tasks);
     Told->set_start_by_ms(500);
@@ -77,13 +77,13 @@
   void endFirst() {
     WorkerReply Reply;
     Reply.Answered = true;
-    Reply.Ended.push_back(
-        {++this->Ends, this->Port.Starts[this->Ends - 1].Run, RunEnd::Done});
+    Reply.Ended.push_back({++this->Ends, this->Port.Starts[this->Ends - 1].Run,
+                           RunOutcome::Done});
     this->Keeper.session().onHoldReply({"w"}, Reply, this->Now);
   }
   peer::WorkerLoad load() {
     peer::Message Message;
-    Message.mutable_lease_renewal()->set_agent_incarnation(AgentLife);
+    Message.mutable_lease_renewal()->set_agent_incarnation(AgentIncarnation);
     Message.mutable_lease_renewal()->set_stamp(LeaseKeeper::stampAt(this->Now));
     this->Keeper.onMessage(Entry, Message, this->Now);
     return this->Sink.Load;
@@ -106,7 +106,7 @@
 private:
   static KeeperOptions options() {
     KeeperOptions Options;
-    Options.Incarnation = AgentLife;
+    Options.Incarnation = AgentIncarnation;
     return Options;
   }
   std::uint64_t LastOrder = 0;
@@ -211,14 +211,14 @@
   LeaseBoard Board(LeaseBoardOptions(), 1);
   peer::Member Member;
   Member.set_name("a");
-  Member.set_incarnation(AgentLife);
+  Member.set_incarnation(AgentIncarnation);
   Member.set_state(peer::MEMBER_ALIVE);
   Member.set_pool("pool");
   Member.mutable_room()->set_cpu_milli(4 * Core);
   Board.update(Member, Now);
   auto Hear = [&](std::uint64_t Stamp, std::uint32_t Cores) {
     peer::WorkerLoad Load;
-    Load.set_incarnation(AgentLife);
+    Load.set_incarnation(AgentIncarnation);
     Load.set_stamp(Stamp);
     Load.mutable_room()->set_cpu_milli(Cores * Core);
     Board.hear("a", Load, Now);
--- a/tests/agent/worker_session_test.cpp
+++ b/tests/agent/worker_session_test.cpp
@@ -41,7 +41,7 @@
   }
   /// Leaves as many starts without a reply as the session makes.
   void loseStarts() {
-    for (std::uint32_t I = 0; I < Options.StartTries; ++I)
+    for (std::uint32_t I = 0; I < Options.MaxStartAttempts; ++I)
       Session.onStartReply({"life-1"}, Run, WorkerReply(), Now);
   }
 };
@@ -65,8 +65,9 @@
 
 // Its first start may have begun it, whatever is said of the second.
 TEST(WorkerSessionTest, ARefusalAfterALostStartProvesNothing) {
-  const WorkerRefusal Rows[] = {WorkerRefusal::OldRun, WorkerRefusal::NoRoom,
-                                WorkerRefusal::Fenced, WorkerRefusal::Unwell};
+  const WorkerRefusal Rows[] = {WorkerRefusal::StaleRun, WorkerRefusal::NoRoom,
+                                WorkerRefusal::Fenced,
+                                WorkerRefusal::Unhealthy};
   attach();
   std::size_t Stops = 0;
   for (WorkerRefusal Why : Rows) {
@@ -80,10 +81,10 @@
   }
   // One of them had begun and is done.
   WorkerReply Held = answered();
-  Held.Ended.push_back({1, Run, RunEnd::Done});
+  Held.Ended.push_back({1, Run, RunOutcome::Done});
   Session.onHoldReply({"life-1"}, Held, Now);
   LONGS_EQUAL(1, Events.Ends.size());
-  CHECK(Events.Ends[0] == RunEnd::Done);
+  CHECK(Events.Ends[0] == RunOutcome::Done);
   pass(150ms);
   LONGS_EQUAL(4, Events.Ends.size());
 }
@@ -106,10 +107,12 @@
   };
   const Row Rows[] = {
       {"it replies", true, answered(), "life-1"},
-      {"another is there", true, answered(WorkerRefusal::OtherLife), "life-2"},
+      {"another is there", true, answered(WorkerRefusal::OtherIncarnation),
+       "life-2"},
       {"silence", true, WorkerReply(), "life-2"},
-      {"nobody is there", true, answered(WorkerRefusal::Unwell), "life-2"},
-      {"nobody, and no runs", false, answered(WorkerRefusal::Unwell), "life-3"},
+      {"nobody is there", true, answered(WorkerRefusal::Unhealthy), "life-2"},
+      {"nobody, and no runs", false, answered(WorkerRefusal::Unhealthy),
+       "life-3"},
       {"silence, and no runs", false, WorkerReply(), "life-4"},
   };
   attach();
@@ -135,7 +138,7 @@
     // The present life replies, and ends what it has.
     WorkerReply Held = answered();
     if (Row.HasRuns && Session.runs() > 0)
-      Held.Ended.push_back({1, Run, RunEnd::Done});
+      Held.Ended.push_back({1, Run, RunOutcome::Done});
     Session.onHoldReply({Port.Life}, Held, Now);
     CHECK_TEXT(Session.isReady(), Row.Name);
     LONGS_EQUAL_TEXT(0, Session.runs(), Row.Name);
@@ -156,7 +159,8 @@
     // Only the new life is there to reply.
     for (const char *Asked : {"life-1", "life-0"})
       if (Port.Life == Asked)
-        Restarted.onHoldReply({Asked}, answered(WorkerRefusal::OtherLife), Now);
+        Restarted.onHoldReply({Asked},
+                              answered(WorkerRefusal::OtherIncarnation), Now);
     STRCMP_EQUAL("life-2", Port.Life.c_str());
     Restarted.onHoldReply({"life-2"}, answered(), Now);
     CHECK(Restarted.isReady());
@@ -187,12 +191,12 @@
   Profile.Id = "life-0";
   Session.onProfile(Profile, Now);
   Session.onHoldReply({"life-1"}, WorkerReply(), Now);
-  pass(Options.HoldRetry);
-  Session.onHoldReply({"life-1"}, answered(WorkerRefusal::Unwell), Now);
+  pass(Options.HoldRetryInterval);
+  Session.onHoldReply({"life-1"}, answered(WorkerRefusal::Unhealthy), Now);
   STRCMP_EQUAL("life-1", Port.Life.c_str());
   LONGS_EQUAL(0, Events.Ends.size());
   // It has only been slow to reply.
-  pass(Options.HoldRetry);
+  pass(Options.HoldRetryInterval);
   Session.onHoldReply({"life-1"}, answered(), Now);
   STRCMP_EQUAL("life-1", Port.Life.c_str());
   // Silent until its lease must have lapsed, it makes way for the other.
@@ -222,10 +226,10 @@
   Session.onHoldReply({"life-1"}, answered(), Now);
   CHECK(Port.Holds.back().Wait == Options.HoldWait);
   Session.onHoldReply({"life-1"}, WorkerReply(), Now);
-  pass(Options.HoldRetry);
+  pass(Options.HoldRetryInterval);
   Session.onHoldReply({"life-1"}, answered(), Now);
   CHECK(Port.Holds.back().Wait == Options.HoldWaitAfterLoss);
-  pass(Options.LossMemory);
+  pass(Options.LossWindow);
   // One call that waited, and one that renewed the lease meanwhile.
   Session.onHoldReply({"life-1"}, answered(), Now);
   Session.onHoldReply({"life-1"}, answered(), Now);
@@ -237,7 +241,7 @@
   Session.start(Run, "spec", Now);
   pass(250ms);
   loseStarts();
-  LONGS_EQUAL(Options.StartTries, Port.Starts.size());
+  LONGS_EQUAL(Options.MaxStartAttempts, Port.Starts.size());
   LONGS_EQUAL(1, Port.Stops.size());
   Session.onStopReply({"life-1"}, Run, answered(), Now);
   pass(40ms);
@@ -245,7 +249,7 @@
   LONGS_EQUAL(0, Events.Ends.size());
   pass(100ms);
   LONGS_EQUAL(1, Events.Ends.size());
-  CHECK(Events.Ends[0] == RunEnd::Unanswered);
+  CHECK(Events.Ends[0] == RunOutcome::Unanswered);
 }
 
 TEST(WorkerSessionTest, AStopWithoutReplyIsRepeatedAndProvesNothing) {
@@ -265,10 +269,10 @@
   Session.start(Run, "spec", Now);
   loseStarts();
   WorkerReply Held = answered();
-  Held.Ended.push_back({1, Run, RunEnd::Done});
+  Held.Ended.push_back({1, Run, RunOutcome::Done});
   Session.onHoldReply({"life-1"}, Held, Now);
   LONGS_EQUAL(1, Events.Ends.size());
-  CHECK(Events.Ends[0] == RunEnd::Done);
+  CHECK(Events.Ends[0] == RunOutcome::Done);
   LONGS_EQUAL(1, Port.Holds.back().AcknowledgedEnd);
 }
 
@@ -297,9 +301,10 @@
   Profile.Id = "life-2";
   Session.onProfile(Profile, Now);
   // The last one no longer replies, or another replies in its place.
-  Session.onHoldReply({"life-1"}, answered(WorkerRefusal::OtherLife), Now);
+  Session.onHoldReply({"life-1"}, answered(WorkerRefusal::OtherIncarnation),
+                      Now);
   LONGS_EQUAL(1, Events.Ends.size());
-  CHECK(Events.Ends[0] == RunEnd::Lapsed);
+  CHECK(Events.Ends[0] == RunOutcome::Lapsed);
   // Replies of the last life change nothing.
   Session.onStartReply({"life-1"}, Run, answered(WorkerRefusal::NoRoom), Now);
   LONGS_EQUAL(0, Events.Refusals.size());
@@ -367,7 +372,7 @@
   }
   pass(200ms);
   LONGS_EQUAL(1, Events.Ends.size());
-  CHECK(Events.Ends[0] == RunEnd::Lapsed);
+  CHECK(Events.Ends[0] == RunOutcome::Lapsed);
 }
 
 // A worker shortens no lease, so that a later and shorter one proves nothing.
@@ -392,7 +397,8 @@
   Session.start(Run, "spec", Now);
   Profile.Id = "life-2";
   Session.onProfile(Profile, Now);
-  Session.onHoldReply({"life-1"}, answered(WorkerRefusal::OtherLife), Now);
+  Session.onHoldReply({"life-1"}, answered(WorkerRefusal::OtherIncarnation),
+                      Now);
   CHECK(Session.leaseEnds() == Now.Steady);
 }
 
@@ -400,10 +406,10 @@
   attach();
   Session.start(Run, "spec", Now);
   Session.stop(Run, Now);
-  pass(Options.StopTakes);
+  pass(Options.MaxStopDuration);
   CHECK_FALSE(Session.hasStopped(Run, Now));
   Session.onStopReply({"life-1"}, Run, answered(), Now);
   CHECK_FALSE(Session.hasStopped(Run, Now));
-  pass(Options.StopTakes);
+  pass(Options.MaxStopDuration);
   CHECK(Session.hasStopped(Run, Now));
 }
--- a/tests/entry/lease_hunt_test.cpp
+++ b/tests/entry/lease_hunt_test.cpp
@@ -85,7 +85,7 @@
   const Row Rows[] = {
       {"leases count from the receipt of a message",
        [](LeaseStoryOptions &Options) {
-         Options.World.Keeper.LeasesCountFromEcho = false;
+         Options.World.Keeper.LeasesCountFromStamp = false;
        }},
       {"a worker's lease outlasts those of its runs",
        [](LeaseStoryOptions &Options) {
@@ -99,11 +99,11 @@
        [](LeaseStoryOptions &Options) { Options.Callers.ResubmitAfter = 0ms; }},
       {"a silent worker's clock is taken to be right",
        [](LeaseStoryOptions &Options) {
-         Options.World.Keeper.Session.LapseSlack = 0ms;
+         Options.World.Keeper.Session.LeaseExpiryMargin = 0ms;
        }},
       {"a confirmed stop counts as an end",
        [](LeaseStoryOptions &Options) {
-         Options.World.Keeper.Session.StopTakes = 0ms;
+         Options.World.Keeper.Session.MaxStopDuration = 0ms;
        }},
       {"a placement on its way is taken for missing",
        [](LeaseStoryOptions &Options) {
@@ -112,7 +112,7 @@
        }},
       {"placements that have ended are forgotten",
        [](LeaseStoryOptions &Options) {
-         Options.World.Keeper.OrderMemory = 0ms;
+         Options.World.Keeper.PlacementRetention = 0ms;
        }},
       {"an entry that stood still does not look whether its callers are there",
        [](LeaseStoryOptions &Options) {
--- a/tests/platform/announcement_test.cpp
+++ b/tests/platform/announcement_test.cpp
@@ -18,10 +18,12 @@
   void onAnnounced(const WorkerProfile &Profile) override {
     this->Profiles.push_back(Profile);
   }
-  void onLeft(const WorkerLife &Life) override { this->Left.push_back(Life); }
+  void onLeft(const WorkerIncarnation &Life) override {
+    this->Left.push_back(Life);
+  }
 
   std::vector<WorkerProfile> Profiles;
-  std::vector<WorkerLife> Left;
+  std::vector<WorkerIncarnation> Left;
 };
 
 class RecordingReply final : public HttpReply {
@@ -235,15 +237,15 @@
 TEST(AnnouncementTest, ALifeIsNamedByItsTimeOfBirthToo) {
   call(announcement().dump());
   call(changed({"/born", 1800000000123}));
-  CHECK_FALSE(Target.Profiles[0].Born.has_value());
-  CHECK(Target.Profiles[1].Born == 1800000000123U);
+  CHECK_FALSE(Target.Profiles[0].StartUnixMs.has_value());
+  CHECK(Target.Profiles[1].StartUnixMs == 1800000000123U);
   for (const char *Body : {"", "{}", R"({"sequence":4})"})
     CHECK_TEXT(call(Body, "i-1", "deregister") == HttpStatus::Ok, Body);
   CHECK(call(R"({"born":1800000000123})", "i-1", "deregister") ==
         HttpStatus::Ok);
   LONGS_EQUAL(4, Target.Left.size());
-  CHECK_FALSE(Target.Left[0].Born.has_value());
-  CHECK(Target.Left[3].Born == 1800000000123U);
+  CHECK_FALSE(Target.Left[0].StartUnixMs.has_value());
+  CHECK(Target.Left[3].StartUnixMs == 1800000000123U);
   for (const char *Bad : {R"({"born":"x"})", R"({"born":-1})",
                           R"({"born":null})", R"({"born":1.5})", "[]", "x"})
     CHECK_TEXT(call(Bad, "i-1", "deregister") == HttpStatus::BadRequest, Bad);
--- a/tests/platform/codec_test.cpp
+++ b/tests/platform/codec_test.cpp
@@ -292,14 +292,14 @@
   const Row Rows[] = {
       {200, R"({"clockMs":5})", WorkerRefusal::None},
       {409, R"({"clockMs":5,"reason":"fence"})", WorkerRefusal::Fenced},
-      {409, R"({"clockMs":5,"reason":"old"})", WorkerRefusal::OldRun},
-      {409, R"({"clockMs":5,"reason":"late"})", WorkerRefusal::LeaseOver},
+      {409, R"({"clockMs":5,"reason":"old"})", WorkerRefusal::StaleRun},
+      {409, R"({"clockMs":5,"reason":"late"})", WorkerRefusal::LeaseExpired},
       {409, R"({"clockMs":5,"reason":"room"})", WorkerRefusal::NoRoom},
       {409, R"({"reason":"new"})", WorkerRefusal::Malformed},
       {400, "", WorkerRefusal::Malformed},
-      {421, "", WorkerRefusal::OtherLife},
-      {429, "", WorkerRefusal::Unwell},
-      {503, "", WorkerRefusal::Unwell},
+      {421, "", WorkerRefusal::OtherIncarnation},
+      {429, "", WorkerRefusal::Unhealthy},
+      {503, "", WorkerRefusal::Unhealthy},
   };
   for (const Row &Row : Rows)
     CHECK(decodeReply(Row.Status, Row.Body).Refusal == Row.Expected);
@@ -314,7 +314,7 @@
        {R"({"running":[[1,2,"",0]]})", R"({"ended":[[1,"a",2,"done"]]})",
         R"({"ended":[["1","a",2,"done",""]]})"}) {
     WorkerReply Reply = decodeReply(200, Bad);
-    LONGS_EQUAL_TEXT(1, Reply.BadRows, Bad);
+    LONGS_EQUAL_TEXT(1, Reply.UnreadableRows, Bad);
     CHECK_TEXT(Reply.Running.empty() && Reply.Ended.empty(), Bad);
   }
 }
@@ -344,9 +344,9 @@
       200,
       R"({"clockMs":1,"born":1800000000123,"running":[["5c0e7a21d94b36f8.0.0.17",2,"",41],
       ["x.1.1.1",4,"",0]],"ended":[[58,"5c0e7a21d94b36f8.0.0.9",1,"done",""]]})");
-  CHECK(Reply.Born == 1800000000123U);
+  CHECK(Reply.StartUnixMs == 1800000000123U);
   CHECK(Reply.Running[0] == Run);
   STRCMP_EQUAL("x.1.1.1", taskName(Reply.Running[1]).c_str());
   LONGS_EQUAL(58, Reply.Ended[0].Number);
-  CHECK(Reply.Ended[0].How == RunEnd::Done);
+  CHECK(Reply.Ended[0].How == RunOutcome::Done);
 }
--- a/tests/platform/reply_rows_test.cpp
+++ b/tests/platform/reply_rows_test.cpp
@@ -34,14 +34,14 @@
 class RecordingEvents final : public SessionEvents {
 public:
   void onRunRefused(const RunKey &, WorkerRefusal, Instant) override {}
-  void onRunEnded(const RunKey &Run, RunEnd How, Instant) override {
+  void onRunEnded(const RunKey &Run, RunOutcome How, Instant) override {
     this->Ends[Run.Index] = How;
   }
   void onWorkerAttached(Instant) override {}
   void onWorkerReady(Instant) override {}
   void onWorkerSilent(Instant) override {}
 
-  std::map<std::uint32_t, RunEnd> Ends;
+  std::map<std::uint32_t, RunOutcome> Ends;
 };
 
 /// A reply as a client passes it on: one that cannot be read is none.
@@ -106,7 +106,7 @@
       confirmStops();
     }
   }
-  bool hasEnded(std::uint32_t Index, RunEnd How) {
+  bool hasEnded(std::uint32_t Index, RunOutcome How) {
     return Events.Ends.contains(Index) && Events.Ends[Index] == How;
   }
 };
@@ -138,14 +138,14 @@
     hold("", fmt::format(R"([1,"a.0.0.0",1,"done",""],{},
                              [3,"a.0.0.2",1,"failed",""])",
                          Row.Bad));
-    CHECK_TEXT(hasEnded(0, RunEnd::Done), Row.Bad);
-    CHECK_TEXT(hasEnded(2, RunEnd::Failed), Row.Bad);
+    CHECK_TEXT(hasEnded(0, RunOutcome::Done), Row.Bad);
+    CHECK_TEXT(hasEnded(2, RunOutcome::Failed), Row.Bad);
     LONGS_EQUAL_TEXT(1, Session->runs(), Row.Bad);
     pass(Step);
     LONGS_EQUAL_TEXT(Row.Acknowledged, Port.Holds.back().AcknowledgedEnd,
                      Row.Bad);
     hold("", R"([2,"a.0.0.1",1,"done",""],[3,"a.0.0.2",1,"failed",""])");
-    CHECK_TEXT(hasEnded(1, RunEnd::Done), Row.Bad);
+    CHECK_TEXT(hasEnded(1, RunOutcome::Done), Row.Bad);
     LONGS_EQUAL_TEXT(3, Port.Holds.back().AcknowledgedEnd, Row.Bad);
   }
 }
@@ -157,7 +157,7 @@
   std::size_t Before = Port.Holds.size();
   hold(R"(["a.0.0.0",1,"",0])", "[2]");
   LONGS_EQUAL(Before, Port.Holds.size());
-  pass(Options.HoldRetry);
+  pass(Options.HoldRetryInterval);
   LONGS_EQUAL(Before + 1, Port.Holds.size());
   CHECK(Session->isReady());
 }
@@ -171,7 +171,7 @@
   LONGS_EQUAL(2, Session->runs());
   LONGS_EQUAL(0, Port.Holds.back().AcknowledgedEnd);
   holdFor(4000ms, Running, Ended);
-  CHECK(hasEnded(1, RunEnd::Other));
+  CHECK(hasEnded(1, RunOutcome::Other));
   LONGS_EQUAL(2, Port.Holds.back().AcknowledgedEnd);
   // The other goes on, under its lease.
   LONGS_EQUAL(1, Session->runs());
@@ -184,7 +184,7 @@
   holdFor(4000ms, Running, R"([3,"b.0.0.0",1,"done",""],[900000,7])");
   LONGS_EQUAL(3, Port.Holds.back().AcknowledgedEnd);
   hold("", R"([4,"a.0.0.0",1,"done",""])");
-  CHECK(hasEnded(0, RunEnd::Done));
+  CHECK(hasEnded(0, RunOutcome::Done));
 }
 
 // It would go on under the leases that this agent gives.
@@ -199,7 +199,7 @@
     holdFor(Options.Lease, Bad, "");
     CHECK_FALSE_TEXT(Session->isReady(), Bad);
     CHECK_FALSE_TEXT(Port.Holds.back().LeaseUntil.has_value(), Bad);
-    holdFor(Options.LapseSlack + 2 * Step, Bad, "");
+    holdFor(Options.LeaseExpiryMargin + 2 * Step, Bad, "");
     CHECK_TEXT(Session->isReady(), Bad);
   }
 }
--- a/tests/platform/worker_client_test.cpp
+++ b/tests/platform/worker_client_test.cpp
@@ -19,9 +19,9 @@
 
 constexpr const char *Accepted =
     "HTTP/1.1 200 OK\r\nContent-Length: 14\r\n\r\n{\"clockMs\":10}";
-constexpr const char *Unwell =
+constexpr const char *Unhealthy =
     "HTTP/1.1 503 Unavailable\r\nContent-Length: 2\r\n\r\n{}";
-constexpr const char *OtherLife =
+constexpr const char *OtherIncarnation =
     "HTTP/1.1 421 Misdirected\r\nContent-Length: 2\r\n\r\n{}";
 
 /// A worker on loopback. It answers its first call, takes the second and ends
@@ -105,13 +105,15 @@
 /// Keeps the replies for a test to await.
 class CollectingReplies final : public WorkerReplies {
 public:
-  void onStart(const WorkerLife &, const RunKey &, WorkerReply Reply) override {
+  void onStart(const WorkerIncarnation &, const RunKey &,
+               WorkerReply Reply) override {
     this->add(std::move(Reply));
   }
-  void onStop(const WorkerLife &, const RunKey &, WorkerReply Reply) override {
+  void onStop(const WorkerIncarnation &, const RunKey &,
+              WorkerReply Reply) override {
     this->add(std::move(Reply));
   }
-  void onHold(const WorkerLife &, WorkerReply Reply) override {
+  void onHold(const WorkerIncarnation &, WorkerReply Reply) override {
     this->add(std::move(Reply));
   }
   WorkerReply next() {
@@ -170,8 +172,8 @@
     const char *Later;
   };
   const Row Rows[] = {{"the worker is gone", nullptr},
-                      {"the worker is unwell", Unwell},
-                      {"another life is there", OtherLife}};
+                      {"the worker is unwell", Unhealthy},
+                      {"another life is there", OtherIncarnation}};
   for (const Row &Row : Rows) {
     BreakingWorker Worker(Row.Later);
     CollectingReplies Replies;
@@ -196,7 +198,7 @@
   Client.start(startOf("first"));
   WorkerReply Reply = Replies.next();
   CHECK(Reply.Answered);
-  CHECK(Reply.Refusal == WorkerRefusal::Unwell);
+  CHECK(Reply.Refusal == WorkerRefusal::Unhealthy);
 }
 
 // Stops and requests for ends do the same when they arrive twice.
--- a/tests/transport/suspension_test.cpp
+++ b/tests/transport/suspension_test.cpp
@@ -47,7 +47,7 @@
 class NullEvents final : public SessionEvents {
 public:
   void onRunRefused(const RunKey &, WorkerRefusal, Instant) override {}
-  void onRunEnded(const RunKey &, RunEnd, Instant) override {}
+  void onRunEnded(const RunKey &, RunOutcome, Instant) override {}
   void onWorkerAttached(Instant) override {}
   void onWorkerReady(Instant) override {}
   void onWorkerSilent(Instant) override {}
