--- a/agent/agent_core.cpp
+++ b/agent/agent_core.cpp
@@ -16,12 +16,12 @@
   return static_cast<std::uint64_t>(Since.count()) + 1;
 }
 
-std::chrono::milliseconds AgentCore::memory() const {
+std::chrono::milliseconds AgentCore::recordRetention() const {
   // Longer than any dispatch, its probe and their answers may take.
   return 3 * this->Options.Freshness;
 }
 
-void AgentCore::noteTime(Instant Now) {
+void AgentCore::detectFreeze(Instant Now) {
   bool Frozen = this->LastSeen != TimePoint::min() &&
                 Now.Steady - this->LastSeen > this->Options.FreezeGap;
   this->LastSeen = Now.Steady;
@@ -29,7 +29,7 @@
     return;
   // Entries have given up on what was sent meanwhile.
   this->OldestStamp = this->stamp(Now);
-  this->giveBackQueue(WasFrozen, Now);
+  this->rejectQueued(WasFrozen, Now);
 }
 
 peer::AgentLoad AgentCore::load(Instant Now) const {
@@ -45,7 +45,7 @@
 
 void AgentCore::onMessage(const PeerRef &From, const peer::Message &Message,
                           Instant Now) {
-  this->noteTime(Now);
+  this->detectFreeze(Now);
   switch (Message.body_case()) {
   case peer::Message::kDispatch:
     this->onDispatch(From, Message.dispatch(), Now);
@@ -85,8 +85,8 @@
   TaskKey Key{Dispatch.job_key(), Order.index()};
   // Meant for an earlier life, which may have started it: no proof either way.
   if (Dispatch.agent_incarnation() != this->Options.Incarnation) {
-    this->say(Key, From, Order.attempt(), peer::TASK_CANNOT_KNOW,
-              "the agent has restarted", Now);
+    this->sendEvent(Key, From, Order.attempt(), peer::TASK_CANNOT_KNOW,
+                    "the agent has restarted", Now);
     return;
   }
   auto Known = this->Records.find(Key);
@@ -140,7 +140,7 @@
   Task.Changed = Now.Steady;
   Task.Payload.clear();
   this->Settled.push_back(Key);
-  this->say(Key, To, Attempt, peer::TASK_NOT_STARTED, Reason, Now);
+  this->sendEvent(Key, To, Attempt, peer::TASK_NOT_STARTED, Reason, Now);
 }
 
 void AgentCore::start(const TaskKey &Key, Record &Task, Instant Now) {
@@ -163,7 +163,7 @@
 
 void AgentCore::onTaskEnded(const TaskKey &Task, const TaskEnd &End,
                             Instant Now) {
-  this->noteTime(Now);
+  this->detectFreeze(Now);
   auto Found = this->Records.find(Task);
   if (Found == this->Records.end() || Found->second.Phase != State::Running)
     return;
@@ -208,8 +208,8 @@
                             const peer::TaskAttempt &Asked, Instant Now) {
   TaskKey Key{Withdraw.job_key(), Asked.index()};
   if (Withdraw.agent_incarnation() != this->Options.Incarnation) {
-    this->say(Key, From, Asked.attempt(), peer::TASK_CANNOT_KNOW,
-              "the agent has restarted", Now);
+    this->sendEvent(Key, From, Asked.attempt(), peer::TASK_CANNOT_KNOW,
+                    "the agent has restarted", Now);
     return;
   }
   auto Known = this->Records.find(Key);
@@ -237,12 +237,13 @@
 void AgentCore::withdrawUnknown(const PeerRef &From, const TaskKey &Key,
                                 const peer::TaskAttempt &Asked, Instant Now) {
   // Had it been taken since that stamp, it would still be remembered.
-  std::uint64_t Memory = static_cast<std::uint64_t>(this->memory().count());
+  std::uint64_t Memory =
+      static_cast<std::uint64_t>(this->recordRetention().count());
   if (Asked.freshness() + Memory >= this->stamp(Now))
     this->refuse(Key, From, Asked.attempt(), Withdrawn, Now);
   else
-    this->say(Key, From, Asked.attempt(), peer::TASK_CANNOT_KNOW,
-              "the task was sent too long ago to know", Now);
+    this->sendEvent(Key, From, Asked.attempt(), peer::TASK_CANNOT_KNOW,
+                    "the task was sent too long ago to know", Now);
 }
 
 void AgentCore::repeatState(const TaskKey &Key, const PeerRef &To,
@@ -250,13 +251,13 @@
                             Instant Now) {
   switch (Known.Phase) {
   case State::Queued:
-    this->say(Key, To, Attempt, peer::TASK_QUEUED, "", Now);
+    this->sendEvent(Key, To, Attempt, peer::TASK_QUEUED, "", Now);
     return;
   case State::Running:
-    this->say(Key, To, Attempt, peer::TASK_STARTED, "", Now);
+    this->sendEvent(Key, To, Attempt, peer::TASK_STARTED, "", Now);
     return;
   case State::NeverStarts:
-    this->say(Key, To, Attempt, peer::TASK_NOT_STARTED, Withdrawn, Now);
+    this->sendEvent(Key, To, Attempt, peer::TASK_NOT_STARTED, Withdrawn, Now);
     return;
   case State::Ended:
     this->sendUpdate(To, Known.Last, Now);
@@ -264,9 +265,9 @@
   }
 }
 
-void AgentCore::say(const TaskKey &Key, const PeerRef &To,
-                    std::uint32_t Attempt, peer::TaskEvent Event,
-                    const std::string &Reason, Instant Now) {
+void AgentCore::sendEvent(const TaskKey &Key, const PeerRef &To,
+                          std::uint32_t Attempt, peer::TaskEvent Event,
+                          const std::string &Reason, Instant Now) {
   peer::TaskUpdate Update;
   Update.set_job_key(Key.Job);
   Update.set_index(Key.Index);
@@ -285,7 +286,7 @@
 }
 
 void AgentCore::onSendFailed(const std::string &Entry, Instant Now) {
-  this->noteTime(Now);
+  this->detectFreeze(Now);
   // Settled holds keys in the order in which they settled.
   for (auto Key = this->Settled.rbegin(); Key != this->Settled.rend(); ++Key) {
     auto Known = this->Records.find(*Key);
@@ -303,10 +304,10 @@
 
 void AgentCore::drain(Instant Now) {
   this->Draining = true;
-  this->giveBackQueue(Leaving, Now);
+  this->rejectQueued(Leaving, Now);
 }
 
-void AgentCore::giveBackQueue(const char *Reason, Instant Now) {
+void AgentCore::rejectQueued(const char *Reason, Instant Now) {
   std::deque<TaskKey> Waiting;
   std::swap(Waiting, this->Queue);
   for (const TaskKey &Key : Waiting) {
@@ -316,7 +317,7 @@
 }
 
 void AgentCore::tick(Instant Now) {
-  this->noteTime(Now);
+  this->detectFreeze(Now);
   this->expire(Now);
   this->Ledger.expire(Now.Wall);
 }
@@ -327,7 +328,7 @@
     if (Oldest != this->Records.end()) {
       const Record &Task = Oldest->second;
       bool Open = Task.Phase == State::Queued || Task.Phase == State::Running;
-      bool Young = Now.Steady - Task.Changed < this->memory();
+      bool Young = Now.Steady - Task.Changed < this->recordRetention();
       if (!Open && Young)
         return;
       if (!Open)
--- a/agent/agent_core.h
+++ b/agent/agent_core.h
@@ -74,7 +74,7 @@
     TimePoint Changed;
   };
 
-  void noteTime(Instant Now);
+  void detectFreeze(Instant Now);
   void onDispatch(const PeerRef &From, const peer::Dispatch &Dispatch,
                   Instant Now);
   void onOrder(const PeerRef &From, const peer::Dispatch &Dispatch,
@@ -92,12 +92,12 @@
               const char *Reason, Instant Now);
   void start(const TaskKey &Key, Record &Task, Instant Now);
   void startQueued(Instant Now);
-  void giveBackQueue(const char *Reason, Instant Now);
-  void say(const TaskKey &Key, const PeerRef &To, std::uint32_t Attempt,
-           peer::TaskEvent Event, const std::string &Reason, Instant Now);
+  void rejectQueued(const char *Reason, Instant Now);
+  void sendEvent(const TaskKey &Key, const PeerRef &To, std::uint32_t Attempt,
+                 peer::TaskEvent Event, const std::string &Reason, Instant Now);
   void sendUpdate(const PeerRef &To, peer::TaskUpdate Update, Instant Now);
   std::uint64_t stamp(Instant Now) const;
-  std::chrono::milliseconds memory() const;
+  std::chrono::milliseconds recordRetention() const;
   void expire(Instant Now);
 
   AgentOptions Options;
--- a/agent/lease_keeper.cpp
+++ b/agent/lease_keeper.cpp
@@ -20,7 +20,7 @@
 LeaseKeeper::LeaseKeeper(KeeperOptions Options, PeerSink &Sink,
                          WorkerPort &Port)
     : Options(Options), Sink(Sink), Session(Options.Session, Port, *this),
-      Desk(Options.OfferTimeout) {}
+      Offers(Options.OfferTimeout) {}
 
 std::uint64_t LeaseKeeper::stampAt(Instant Now) {
   auto Since = std::chrono::duration_cast<std::chrono::milliseconds>(
@@ -50,7 +50,7 @@
   if (this->HadWorker)
     ++this->Options.Incarnation;
   this->HadWorker = true;
-  this->LastLifeLeft = this->Leaving;
+  this->LastIncarnationLeft = this->Leaving;
   this->FailuresInRow = 0;
   this->Leaving = this->ShuttingDown;
   this->leaveIfDraining(Now);
@@ -61,7 +61,7 @@
   this->dropExpired(Now);
   // Another role may have the same name on a node, and lives of its own.
   if (isFromEntry(Message))
-    this->noteLife(From, Now);
+    this->noteIncarnation(From, Now);
   if (Message.has_leased_dispatch()) {
     this->onDispatch(From, Message.leased_dispatch(), Now);
   } else if (Message.has_leased_stop()) {
@@ -69,15 +69,15 @@
   } else if (Message.has_leased_interest()) {
     this->onInterest(From, Message.leased_interest(), Now);
   } else if (Message.has_offer_reply()) {
-    this->giveRoomBack(
-        this->Desk.release(From.Node, Message.offer_reply().offer(), 0));
+    this->releaseRoom(
+        this->Offers.release(From.Node, Message.offer_reply().offer(), 0));
     this->startFitting(Now);
   } else if (Message.has_lease_renewal()) {
     const peer::LeaseRenewal &Renewal = Message.lease_renewal();
     if (Renewal.agent_incarnation() == this->Options.Incarnation)
       this->renew(From, {Renewal.orders().begin(), Renewal.orders().end()},
                   this->leaseFrom(Renewal.stamp(), Now), Now);
-    this->tellLingering(From);
+    this->flushUpdates(From);
     peer::Message Reply;
     peer::WorkerLoad *Load = Reply.mutable_worker_load();
     *Load = this->loadFor(From.Node, Now, /*WithAllCrashes=*/true);
@@ -95,10 +95,10 @@
                              const peer::LeasedDispatch &Dispatch,
                              Instant Now) {
   // Meant for an earlier life: this one has not started it and will not.
-  bool Mine = Dispatch.agent_incarnation() == this->Options.Incarnation;
+  bool IsCurrent = Dispatch.agent_incarnation() == this->Options.Incarnation;
   // Enough must be left for renewals, whose answers bring a newer stamp.
   std::chrono::milliseconds Left{0};
-  if (Mine)
+  if (IsCurrent)
     Left = this->leaseFrom(Dispatch.stamp(), Now);
   this->renew(From, {Dispatch.renewed().begin(), Dispatch.renewed().end()},
               Left, Now);
@@ -117,26 +117,27 @@
   for (const peer::LeasedTask &Order : Dispatch.tasks())
     this->onOrder(From, Dispatch, Order, Left, Now);
   if (Dispatch.offer() > 0)
-    this->startOffered(From, Dispatch, Now);
+    this->startInOfferedRoom(From, Dispatch, Now);
   this->startFitting(Now);
   if (Dispatch.start_or_refuse())
     this->refuseWaiting(From, Dispatch, Now);
 }
 
-void LeaseKeeper::startOffered(const PeerRef &From,
-                               const peer::LeasedDispatch &Dispatch,
-                               Instant Now) {
+void LeaseKeeper::startInOfferedRoom(const PeerRef &From,
+                                     const peer::LeasedDispatch &Dispatch,
+                                     Instant Now) {
   auto Sent = static_cast<std::uint32_t>(Dispatch.tasks_size());
-  this->giveRoomBack(this->Desk.release(From.Node, Dispatch.offer(), Sent));
-  if (!this->mayStart(Now))
+  this->releaseRoom(this->Offers.release(From.Node, Dispatch.offer(), Sent));
+  if (!this->canStartRuns(Now))
     return;
   for (const peer::LeasedTask &Order : Dispatch.tasks()) {
     TaskId Id{Dispatch.job(), Order.index()};
     auto Known = this->Tasks.find(Id);
-    bool Starts =
-        Known != this->Tasks.end() && Known->second.State == Phase::Queued &&
-        Known->second.Order == Order.order() &&
-        this->fits(Known->second.Needs) && this->outlastsWorker(Known->second);
+    bool Starts = Known != this->Tasks.end() &&
+                  Known->second.State == Phase::Queued &&
+                  Known->second.Order == Order.order() &&
+                  this->fits(Known->second.Needs) &&
+                  this->outlastsWorkerLease(Known->second);
     if (!Starts)
       continue;
     this->dequeue(Id);
@@ -208,7 +209,7 @@
     Refusal = peer::REFUSAL_BUSY;
   if (Refusal != peer::REFUSAL_NONE) {
     ++this->Counters.Refused;
-    this->say(Id, New, peer::LEASED_NOT_STARTED, Refusal, "", Now);
+    this->sendUpdate(Id, New, peer::LEASED_NOT_STARTED, Refusal, "", Now);
     return;
   }
   this->Tasks[Id] = std::move(New);
@@ -216,34 +217,36 @@
 }
 
 void LeaseKeeper::onInterest(const PeerRef &From,
-                             const peer::LeasedInterest &Told, Instant Now) {
-  bool Mine = Told.agent_incarnation() == this->Options.Incarnation;
-  if (!Mine || this->Leaving)
+                             const peer::LeasedInterest &Request, Instant Now) {
+  bool IsCurrent = Request.agent_incarnation() == this->Options.Incarnation;
+  if (!IsCurrent || this->Leaving)
     return;
-  if (Told.tasks() == 0) {
-    this->Desk.drop(From.Node, Told.job());
+  if (Request.tasks() == 0) {
+    this->Offers.drop(From.Node, Request.job());
     return;
   }
-  this->Desk.add({From, Told.job(), Told.needs(), Told.tasks(),
-                  Now.Steady + std::chrono::milliseconds(Told.start_by_ms())});
+  this->Offers.add(
+      {From, Request.job(), Request.needs(), Request.tasks(),
+       Now.Steady + std::chrono::milliseconds(Request.start_by_ms())});
   this->startFitting(Now);
 }
 
-bool LeaseKeeper::offerRoom(Interest &For, Instant Now) {
+bool LeaseKeeper::offerRoom(Interest &Target, Instant Now) {
   std::uint32_t Tasks = 0;
-  while (Tasks < For.Tasks && this->fits(multiplyNeeds(For.Needs, Tasks + 1)))
+  while (Tasks < Target.Tasks &&
+         this->fits(multiplyNeeds(Target.Needs, Tasks + 1)))
     ++Tasks;
   if (Tasks == 0)
     return false;
-  this->takeRoom(multiplyNeeds(For.Needs, Tasks));
+  this->reserveRoom(multiplyNeeds(Target.Needs, Tasks));
   peer::Message Message;
   peer::LeasedOffer *Offer = Message.mutable_leased_offer();
-  Offer->set_job(For.Job);
-  Offer->set_offer(this->Desk.hold(For, Tasks, Now.Steady));
+  Offer->set_job(Target.Job);
+  Offer->set_offer(this->Offers.hold(Target, Tasks, Now.Steady));
   Offer->set_tasks(Tasks);
-  *Offer->mutable_load() = this->loadFor(For.Entry.Node, Now);
-  this->Sink.send(For.Entry, std::move(Message));
-  return For.Tasks == 0;
+  *Offer->mutable_load() = this->loadFor(Target.Entry.Node, Now);
+  this->Sink.send(Target.Entry, std::move(Message));
+  return Target.Tasks == 0;
 }
 
 void LeaseKeeper::onStop(const PeerRef &From, const peer::LeasedStop &Stop,
@@ -253,12 +256,12 @@
     return;
   }
   std::set<std::uint64_t> Orders(Stop.orders().begin(), Stop.orders().end());
-  std::vector<TaskId> Meant;
+  std::vector<TaskId> Matches;
   for (const auto &[Id, Known] : this->Tasks)
     if (Id.Job == Stop.job() && Known.Owner.Node == From.Node &&
         (Orders.empty() || Orders.contains(Known.Order)))
-      Meant.push_back(Id);
-  for (const TaskId &Id : Meant)
+      Matches.push_back(Id);
+  for (const TaskId &Id : Matches)
     this->dropTask(Id, peer::REFUSAL_STOPPED, "stopped by its entry", Now);
 }
 
@@ -266,39 +269,39 @@
                               Instant Now) {
   TaskId Id{Stop.job(), Stop.index()};
   auto Found = this->Tasks.find(Id);
-  bool Meant = Found != this->Tasks.end() &&
-               Found->second.Owner.Node == From.Node &&
-               Found->second.State == Phase::Running;
-  if (Meant && millisBetween(Found->second.Started, Now.Steady) >
-                   static_cast<std::int64_t>(Stop.longer_than_ms())) {
+  bool Matches = Found != this->Tasks.end() &&
+                 Found->second.Owner.Node == From.Node &&
+                 Found->second.State == Phase::Running;
+  if (Matches && millisBetween(Found->second.Started, Now.Steady) >
+                     static_cast<std::int64_t>(Stop.longer_than_ms())) {
     Found->second.Stalled = true;
     this->dropTask(Id, peer::REFUSAL_STOPPED, "stalled", Now);
   }
 }
 
-void LeaseKeeper::dropTask(const TaskId &Id, peer::LeasedRefusal Why,
+void LeaseKeeper::dropTask(const TaskId &Id, peer::LeasedRefusal Cause,
                            const std::string &Reason, Instant Now) {
   auto Found = this->Tasks.find(Id);
   if (Found == this->Tasks.end())
     return;
-  Task &Which = Found->second;
-  if (Which.State == Phase::Queued) {
+  Task &TheTask = Found->second;
+  if (TheTask.State == Phase::Queued) {
     this->dequeue(Id);
     ++this->Counters.Refused;
-    this->say(Id, Which, peer::LEASED_NOT_STARTED, Why, Reason, Now);
+    this->sendUpdate(Id, TheTask, peer::LEASED_NOT_STARTED, Cause, Reason, Now);
     this->Tasks.erase(Found);
     return;
   }
-  if (Which.State == Phase::Stopping)
+  if (TheTask.State == Phase::Stopping)
     return;
-  Which.State = Phase::Stopping;
+  TheTask.State = Phase::Stopping;
   this->Log.decision("run_stopped", {{"job", Id.Job},
                                      {"task", Id.Index},
-                                     {"run", Which.Run},
-                                     {"entry", Which.Owner.Node},
-                                     {"order", Which.Order},
+                                     {"run", TheTask.Run},
+                                     {"entry", TheTask.Owner.Node},
+                                     {"order", TheTask.Order},
                                      {"reason", Reason}});
-  this->Session.stop({Id.Job, Id.Index, Which.Run}, Now);
+  this->Session.stop({Id.Job, Id.Index, TheTask.Run}, Now);
 }
 
 // ---- Tasks start ----
@@ -313,7 +316,7 @@
 
 bool LeaseKeeper::isOverfull() const { return !this->fits({}); }
 
-std::vector<LeaseKeeper::TaskId> LeaseKeeper::order(Instant Now) const {
+std::vector<LeaseKeeper::TaskId> LeaseKeeper::sortedQueue(Instant Now) const {
   std::vector<TaskId> Sorted = this->Queue;
   auto Before = [&](const TaskId &Left, const TaskId &Right) {
     const Task &A = this->Tasks.at(Left);
@@ -329,53 +332,55 @@
 }
 
 void LeaseKeeper::startFitting(Instant Now) {
-  this->Desk.dropStale(Now.Steady);
-  bool Idle = this->Queue.empty() && this->Desk.interests().empty();
-  bool Blocked = Idle || !this->mayStart(Now) || Now.Steady < this->NoRoomUntil;
+  this->Offers.dropStale(Now.Steady);
+  bool Idle = this->Queue.empty() && this->Offers.interests().empty();
+  bool Blocked =
+      Idle || !this->canStartRuns(Now) || Now.Steady < this->NoRoomUntil;
   if (Blocked)
     return;
   this->dropExpired(Now);
   std::vector<TaskId> Rest;
   bool Full = false;
-  auto Interested = this->Desk.interests().begin();
+  auto Interested = this->Offers.interests().begin();
   auto OfferUntil = [&](TimePoint StartBy) {
-    auto End = this->Desk.interests().end();
+    auto End = this->Offers.interests().end();
     for (; !Full && Interested != End && Interested->StartBy <= StartBy;
          ++Interested)
       Full = !this->offerRoom(*Interested, Now);
   };
-  for (const TaskId &Id : this->order(Now)) {
-    Task &Which = this->Tasks.at(Id);
-    bool Late = Which.StartBy < Now.Steady;
-    OfferUntil(Late ? TimePoint::max() : Which.StartBy);
+  for (const TaskId &Id : this->sortedQueue(Now)) {
+    Task &TheTask = this->Tasks.at(Id);
+    bool Late = TheTask.StartBy < Now.Steady;
+    OfferUntil(Late ? TimePoint::max() : TheTask.StartBy);
     // The first that does not fit keeps its turn.
-    Full = Full || !this->fits(Which.Needs);
-    if (Full || !this->outlastsWorker(Which))
+    Full = Full || !this->fits(TheTask.Needs);
+    if (Full || !this->outlastsWorkerLease(TheTask))
       Rest.push_back(Id);
     else
-      this->startTask(Id, Which, Now);
+      this->startTask(Id, TheTask, Now);
   }
   OfferUntil(TimePoint::max());
   this->Queue = std::move(Rest);
 }
 
-bool LeaseKeeper::mayStart(Instant Now) const {
+bool LeaseKeeper::canStartRuns(Instant Now) const {
   return this->Session.isReady() && this->maxWorkerLeaseEnd(Now) - Now.Steady >=
                                         this->Options.MinWorkerLease;
 }
 
-bool LeaseKeeper::outlastsWorker(const Task &Which) const {
-  return Which.Until + this->Options.StopAllowance >= this->Session.leaseEnds();
+bool LeaseKeeper::outlastsWorkerLease(const Task &TheTask) const {
+  return TheTask.Until + this->Options.StopAllowance >=
+         this->Session.leaseEnds();
 }
 
-void LeaseKeeper::startTask(const TaskId &Id, Task &Which, Instant Now) {
-  Which.State = Phase::Running;
-  Which.Started = Now.Steady;
-  Which.Run = this->nextRun(Id, Which.Attempt, Now);
+void LeaseKeeper::startTask(const TaskId &Id, Task &TheTask, Instant Now) {
+  TheTask.State = Phase::Running;
+  TheTask.Started = Now.Steady;
+  TheTask.Run = this->nextRun(Id, TheTask.Attempt, Now);
   this->LastRuns[Id].Started = Now.Steady;
-  this->takeRoom(Which.Needs);
+  this->reserveRoom(TheTask.Needs);
   ++this->Counters.Started;
-  this->Session.start({Id.Job, Id.Index, Which.Run}, Which.Spec, Now);
+  this->Session.start({Id.Job, Id.Index, TheTask.Run}, TheTask.Spec, Now);
 }
 
 std::uint64_t LeaseKeeper::nextRun(const TaskId &Id, std::uint32_t Attempt,
@@ -386,13 +391,13 @@
   return Last.Run;
 }
 
-void LeaseKeeper::takeRoom(const peer::TaskNeeds &Needs) {
+void LeaseKeeper::reserveRoom(const peer::TaskNeeds &Needs) {
   this->Used.set_cpu_milli(this->Used.cpu_milli() + Needs.cpu_milli());
   this->Used.set_memory_mb(this->Used.memory_mb() + Needs.memory_mb());
   this->Used.set_accelerators(this->Used.accelerators() + Needs.accelerators());
 }
 
-void LeaseKeeper::giveRoomBack(const peer::TaskNeeds &Needs) {
+void LeaseKeeper::releaseRoom(const peer::TaskNeeds &Needs) {
   auto Less = [](std::uint32_t Held, std::uint32_t Given) {
     return Held - std::min(Held, Given);
   };
--- a/agent/lease_keeper.h
+++ b/agent/lease_keeper.h
@@ -88,7 +88,7 @@
   /// Tells an entry again what it may not have heard, while its lease lasts.
   void onUndelivered(const Undelivered &Lost, Instant Now);
   /// A life of the worker has said that it has left.
-  void onWorkerLeft(const WorkerIncarnation &Life, Instant Now);
+  void onWorkerLeft(const WorkerIncarnation &Worker, Instant Now);
   /// Gives back what waits and takes nothing more; what runs goes on.
   void leave(const std::string &Reason, Instant Now);
   /// The same, for good.
@@ -102,8 +102,9 @@
   const KeeperCounters &counters() const { return this->Counters; }
   std::size_t queued() const { return this->Queue.size(); }
 
-  void onRunRefused(const RunKey &Run, WorkerRefusal Why, Instant Now) override;
-  void onRunEnded(const RunKey &Run, RunOutcome How, Instant Now) override;
+  void onRunRefused(const RunKey &Run, WorkerRefusal Cause,
+                    Instant Now) override;
+  void onRunEnded(const RunKey &Run, RunOutcome Outcome, Instant Now) override;
   void onWorkerAttached(Instant Now) override;
   void onWorkerCrashed(const std::vector<RunKey> &Runs, Instant Now) override;
   void onRoomChanged(Instant Now) override;
@@ -154,7 +155,7 @@
   };
 
   /// Ends what an entry had here if the message comes from another life of it.
-  void noteLife(const PeerRef &From, Instant Now);
+  void noteIncarnation(const PeerRef &From, Instant Now);
   /// How much is left of a lease that counts from a stamp; 0 for a stamp that
   /// is too old.
   std::chrono::milliseconds leaseFrom(std::uint64_t Stamp, Instant Now) const;
@@ -168,61 +169,62 @@
                const peer::LeasedTask &Order, std::chrono::milliseconds Left,
                Instant Now);
   /// Starts the tasks of a dispatch in the room that was offered for them.
-  void startOffered(const PeerRef &From, const peer::LeasedDispatch &Dispatch,
-                    Instant Now);
+  void startInOfferedRoom(const PeerRef &From,
+                          const peer::LeasedDispatch &Dispatch, Instant Now);
   void dequeue(const TaskId &Id);
   /// Gives back what of a dispatch does not start at once.
   void refuseWaiting(const PeerRef &From, const peer::LeasedDispatch &Dispatch,
                      Instant Now);
   peer::LeasedRefusal refusalFor(const TaskId &Id, bool Fresh) const;
   void onStop(const PeerRef &From, const peer::LeasedStop &Stop, Instant Now);
-  void onInterest(const PeerRef &From, const peer::LeasedInterest &Told,
+  void onInterest(const PeerRef &From, const peer::LeasedInterest &Request,
                   Instant Now);
   /// Offers an entry the room that there is for its tasks. \returns whether
   /// there was enough for all.
-  bool offerRoom(Interest &For, Instant Now);
+  bool offerRoom(Interest &Target, Instant Now);
   void stopStalled(const PeerRef &From, const peer::LeasedStop &Stop,
                    Instant Now);
   void leaveIfDraining(Instant Now);
-  void giveBackQueue(peer::LeasedRefusal Why, const std::string &Reason,
-                     Instant Now);
+  void rejectQueued(peer::LeasedRefusal Cause, const std::string &Reason,
+                    Instant Now);
   /// Gives back what waits and could not start in an empty worker.
-  void giveBackOversized(Instant Now);
-  void dropTask(const TaskId &Id, peer::LeasedRefusal Why,
+  void rejectOversized(Instant Now);
+  void dropTask(const TaskId &Id, peer::LeasedRefusal Cause,
                 const std::string &Reason, Instant Now);
 
   /// Starts what fits, in order: first those that can still meet their
   /// objective, the most urgent first; then the others.
   void startFitting(Instant Now);
-  std::vector<TaskId> order(Instant Now) const;
-  void startTask(const TaskId &Id, Task &Which, Instant Now);
+  std::vector<TaskId> sortedQueue(Instant Now) const;
+  void startTask(const TaskId &Id, Task &TheTask, Instant Now);
   /// Whether the worker takes starts, each of which has to bring it a lease.
-  bool mayStart(Instant Now) const;
+  bool canStartRuns(Instant Now) const;
   /// Whether a task's lease lasts until the worker's does, which a run that is
   /// started now would have.
-  bool outlastsWorker(const Task &Which) const;
+  bool outlastsWorkerLease(const Task &TheTask) const;
   bool fits(const peer::TaskNeeds &Needs) const;
   /// Whether what is taken is more than there is, as after the room shrank.
   bool isOverfull() const;
-  void takeRoom(const peer::TaskNeeds &Needs);
+  void reserveRoom(const peer::TaskNeeds &Needs);
   std::uint64_t nextRun(const TaskId &Id, std::uint32_t Attempt, Instant Now);
-  void countEnd(const Task &Which, RunOutcome How);
-  void giveRoomBack(const peer::TaskNeeds &Needs);
+  void countEnd(const Task &TheTask, RunOutcome Outcome);
+  void releaseRoom(const peer::TaskNeeds &Needs);
 
-  void say(const TaskId &Id, const Task &Which, peer::LeasedEvent Event,
-           peer::LeasedRefusal Refusal, const std::string &Reason, Instant Now,
-           bool WorkerLost = false);
+  void sendUpdate(const TaskId &Id, const Task &TheTask,
+                  peer::LeasedEvent Event, peer::LeasedRefusal Refusal,
+                  const std::string &Reason, Instant Now,
+                  bool WorkerLost = false);
   /// Whether the end of a task may wait for others to be told with it.
-  bool mayLinger(const TaskId &Id, const Task &Which) const;
+  bool canBatch(const TaskId &Id, const Task &TheTask) const;
   /// Tells an entry the ends that waited.
-  void tellLingering(const PeerRef &Entry);
-  void tickLingering(Instant Now);
+  void flushUpdates(const PeerRef &Entry);
+  void flushDueUpdates(Instant Now);
   /// \param WithAllCrashes Those that are no news any more, too: in answers to
   /// renewals, which each entry asks for within two seconds. Every end of a run
   /// carries a load, and the tasks of crashes are many.
   peer::WorkerLoad loadFor(const std::string &Entry, Instant Now,
                            bool WithAllCrashes = false) const;
-  Task *taskOf(const RunKey &Run);
+  Task *findTask(const RunKey &Run);
   /// Drops what has outlived its lease or waited for too long. It precedes
   /// whatever may renew a lease or start a task, as this process may have stood
   /// still since the last tick.
@@ -236,28 +238,28 @@
   PeerSink &Sink;
   WorkerSession Session;
   /// Until when entries count as being there, by what they last sent.
-  std::map<std::string, TimePoint> EntriesHeard;
+  std::map<std::string, TimePoint> EntryLeaseEnds;
   /// The lives that entries were last heard of in.
-  std::map<std::string, std::uint64_t> EntryLives;
+  std::map<std::string, std::uint64_t> EntryIncarnations;
   std::map<TaskId, Task> Tasks;
   std::vector<TaskId> Queue;
   std::map<TaskId, LastRun> LastRuns;
   /// Ends that wait to be told together, by entry.
-  struct Lingering {
+  struct UpdateBatch {
     PeerRef Entry;
     TimePoint Until;
     std::vector<peer::Message> Updates;
   };
-  std::map<std::string, Lingering> Untold;
+  std::map<std::string, UpdateBatch> PendingUpdates;
   /// Placements that have ended here, and when.
   std::map<Placement, TimePoint> Ended;
   /// Crashes of the worker, told to all entries with its load.
   struct Crash {
-    peer::WorkerCrash Told;
+    peer::WorkerCrash Report;
     TimePoint At;
   };
   std::deque<Crash> Crashes;
-  OfferQueue Desk;
+  OfferQueue Offers;
   /// By runs and by offers.
   peer::TaskNeeds Used;
   TimePoint NoRoomUntil = TimePoint::min();
@@ -266,7 +268,7 @@
   bool Leaving = false;
   bool ShuttingDown = false;
   /// The worker's last life had said that it would leave.
-  bool LastLifeLeft = false;
+  bool LastIncarnationLeft = false;
   /// Whether the worker has been attached in an earlier life.
   bool HadWorker = false;
   /// Runs that the worker has failed since it last got one done.
--- a/agent/lease_keeper_ends.cpp
+++ b/agent/lease_keeper_ends.cpp
@@ -15,106 +15,110 @@
 constexpr std::uint64_t RunStep = 16;
 /// A worker that a task crashes has taken others up to so long after it: calls
 /// to it are under way while it crashes, and take about a millisecond.
-constexpr std::chrono::milliseconds CrashAfterStart{10};
+constexpr std::chrono::milliseconds CrashStartWindow{10};
 /// Crashes that are told at once. A worker is back after some seconds, so more
 /// do not fall into the time for which they are told.
-constexpr std::size_t MaxCrashesTold = 8;
+constexpr std::size_t MaxReportedCrashes = 8;
 
 } // namespace
 
 // ---- Tasks end ----
 
-LeaseKeeper::Task *LeaseKeeper::taskOf(const RunKey &Run) {
+LeaseKeeper::Task *LeaseKeeper::findTask(const RunKey &Run) {
   auto Found = this->Tasks.find({Run.Job, Run.Index});
   bool Same = Found != this->Tasks.end() && Found->second.Run == Run.Run;
   return Same ? &Found->second : nullptr;
 }
 
-void LeaseKeeper::onRunRefused(const RunKey &Run, WorkerRefusal Why,
+void LeaseKeeper::onRunRefused(const RunKey &Run, WorkerRefusal Cause,
                                Instant Now) {
-  Task *Which = this->taskOf(Run);
-  if (Which == nullptr)
+  Task *TheTask = this->findTask(Run);
+  if (TheTask == nullptr)
     return;
   TaskId Id{Run.Job, Run.Index};
-  this->giveRoomBack(Which->Needs);
+  this->releaseRoom(TheTask->Needs);
   this->Log.decision("run_refused", {{"job", Run.Job},
                                      {"task", Run.Index},
                                      {"run", Run.Run},
-                                     {"refusal", refusalName(Why)},
+                                     {"refusal", refusalName(Cause)},
                                      {"used_cpu_milli", this->Used.cpu_milli()},
                                      {"queued", this->Queue.size()}});
-  if (Why == WorkerRefusal::StaleRun)
+  if (Cause == WorkerRefusal::StaleRun)
     this->LastRuns[Id].Run += RunStep;
-  bool Wanted = Which->State == Phase::Running;
-  bool MayWait = Why == WorkerRefusal::NoRoom || Why == WorkerRefusal::Fenced ||
-                 Why == WorkerRefusal::StaleRun;
+  bool Wanted = TheTask->State == Phase::Running;
+  bool MayWait = Cause == WorkerRefusal::NoRoom ||
+                 Cause == WorkerRefusal::Fenced ||
+                 Cause == WorkerRefusal::StaleRun;
   if (Wanted && MayWait && !this->Leaving) {
-    Which->State = Phase::Queued;
+    TheTask->State = Phase::Queued;
     this->Queue.push_back(Id);
-    if (Why == WorkerRefusal::NoRoom)
+    if (Cause == WorkerRefusal::NoRoom)
       this->NoRoomUntil = Now.Steady + this->Options.NoRoomRetryInterval;
     else
       this->startFitting(Now);
     return;
   }
   ++this->Counters.Refused;
-  this->say(Id, *Which, peer::LEASED_NOT_STARTED, peer::REFUSAL_WORKER,
-            refusalName(Why), Now);
+  this->sendUpdate(Id, *TheTask, peer::LEASED_NOT_STARTED, peer::REFUSAL_WORKER,
+                   refusalName(Cause), Now);
   this->Tasks.erase(Id);
   this->startFitting(Now);
 }
 
-void LeaseKeeper::countEnd(const Task &Which, RunOutcome How) {
-  if (How == RunOutcome::Done) {
+void LeaseKeeper::countEnd(const Task &TheTask, RunOutcome Outcome) {
+  if (Outcome == RunOutcome::Done) {
     ++this->Counters.Done;
     this->FailuresInRow = 0;
     return;
   }
-  if (How == RunOutcome::Failed)
+  if (Outcome == RunOutcome::Failed)
     ++this->Counters.Failed;
   else
     ++this->Counters.EndedEarly;
-  bool WorkerAtFault = How == RunOutcome::Failed ||
-                       How == RunOutcome::Unanswered || Which.Stalled;
+  bool WorkerAtFault = Outcome == RunOutcome::Failed ||
+                       Outcome == RunOutcome::Unanswered || TheTask.Stalled;
   if (WorkerAtFault)
     ++this->FailuresInRow;
 }
 
-void LeaseKeeper::onRunEnded(const RunKey &Run, RunOutcome How, Instant Now) {
-  Task *Which = this->taskOf(Run);
-  if (Which == nullptr)
+void LeaseKeeper::onRunEnded(const RunKey &Run, RunOutcome Outcome,
+                             Instant Now) {
+  Task *TheTask = this->findTask(Run);
+  if (TheTask == nullptr)
     return;
   TaskId Id{Run.Job, Run.Index};
-  this->giveRoomBack(Which->Needs);
+  this->releaseRoom(TheTask->Needs);
   peer::LeasedEvent Event = peer::LEASED_ENDED_EARLY;
-  if (How == RunOutcome::Done)
+  if (Outcome == RunOutcome::Done)
     Event = peer::LEASED_DONE;
-  else if (How == RunOutcome::Failed)
+  else if (Outcome == RunOutcome::Failed)
     Event = peer::LEASED_FAILED;
-  this->countEnd(*Which, How);
+  this->countEnd(*TheTask, Outcome);
   this->Log.decision(
       "run_ended",
       {{"job", Run.Job},
        {"task", Run.Index},
        {"run", Run.Run},
-       {"entry", Which->Owner.Node},
-       {"order", Which->Order},
-       {"lease_left_ms", millisBetween(Now.Steady, Which->Until)},
-       {"end", runOutcomeName(How)},
-       {"waited_ms", millisBetween(Which->Arrived, Which->Started)},
-       {"ran_ms", millisBetween(Which->Started, Now.Steady)}});
+       {"entry", TheTask->Owner.Node},
+       {"order", TheTask->Order},
+       {"lease_left_ms", millisBetween(Now.Steady, TheTask->Until)},
+       {"end", runOutcomeName(Outcome)},
+       {"waited_ms", millisBetween(TheTask->Arrived, TheTask->Started)},
+       {"ran_ms", millisBetween(TheTask->Started, Now.Steady)}});
   // Its entry takes it for lost with the agent's earlier life.
-  if (How == RunOutcome::Unknown) {
-    this->Ended[{Which->Owner.Node, Which->Order}] = Now.Steady;
+  if (Outcome == RunOutcome::Unknown) {
+    this->Ended[{TheTask->Owner.Node, TheTask->Order}] = Now.Steady;
     this->Tasks.erase(Id);
     return;
   }
-  peer::LeasedRefusal Blame =
-      How == RunOutcome::Unanswered ? peer::REFUSAL_WORKER : peer::REFUSAL_NONE;
-  bool WorkerLost = How == RunOutcome::Lapsed &&
+  peer::LeasedRefusal Blame = Outcome == RunOutcome::Unanswered
+                                  ? peer::REFUSAL_WORKER
+                                  : peer::REFUSAL_NONE;
+  bool WorkerLost = Outcome == RunOutcome::Lapsed &&
                     !this->Session.isResponsive() && !this->Leaving &&
-                    !this->LastLifeLeft;
-  this->say(Id, *Which, Event, Blame, runOutcomeName(How), Now, WorkerLost);
+                    !this->LastIncarnationLeft;
+  this->sendUpdate(Id, *TheTask, Event, Blame, runOutcomeName(Outcome), Now,
+                   WorkerLost);
   this->Tasks.erase(Id);
   this->NoRoomUntil = TimePoint::min();
   this->startFitting(Now);
@@ -135,12 +139,12 @@
     LastStart = std::max(LastStart, StartOf(Run));
   Crash New;
   New.At = Now.Steady;
-  New.Told.set_incarnation(this->Options.Incarnation);
+  New.Report.set_incarnation(this->Options.Incarnation);
   for (const RunKey &Run : Runs) {
-    peer::CrashedTask *Task = New.Told.add_tasks();
+    peer::CrashedTask *Task = New.Report.add_tasks();
     Task->set_job(Run.Job);
     Task->set_index(Run.Index);
-    Task->set_started_last(LastStart - StartOf(Run) <= CrashAfterStart);
+    Task->set_started_last(LastStart - StartOf(Run) <= CrashStartWindow);
     this->Log.decision("worker_crashed",
                        {{"worker", this->Session.profile().Id},
                         {"incarnation", this->Options.Incarnation},
@@ -150,35 +154,36 @@
                         {"runs", Runs.size()}});
   }
   ++this->Counters.WorkerCrashes;
-  if (this->Crashes.size() == MaxCrashesTold)
+  if (this->Crashes.size() == MaxReportedCrashes)
     this->Crashes.pop_front();
   this->Crashes.push_back(std::move(New));
 }
 
 void LeaseKeeper::onRoomChanged(Instant Now) {
   if (!this->isOverfull()) {
-    this->giveBackOversized(Now);
+    this->rejectOversized(Now);
     this->startFitting(Now);
     return;
   }
   // Offers of room that has gone must not bring the worker over what is left;
   // a task sent for one is judged by the room of its arrival.
-  for (const peer::TaskNeeds &Room : this->Desk.releaseAll())
-    this->giveRoomBack(Room);
+  for (const peer::TaskNeeds &Room : this->Offers.releaseAll())
+    this->releaseRoom(Room);
   // What runs goes on. What waits finds room elsewhere sooner.
-  this->giveBackQueue(peer::REFUSAL_BUSY, "the worker's room has shrunk", Now);
+  this->rejectQueued(peer::REFUSAL_BUSY, "the worker's room has shrunk", Now);
   this->startFitting(Now);
 }
 
 void LeaseKeeper::onWorkerReady(Instant Now) { this->startFitting(Now); }
 
 void LeaseKeeper::onWorkerSilent(Instant Now) {
-  this->giveBackQueue(peer::REFUSAL_WORKER, "the worker is silent", Now);
+  this->rejectQueued(peer::REFUSAL_WORKER, "the worker is silent", Now);
 }
 
-void LeaseKeeper::onWorkerLeft(const WorkerIncarnation &Life, Instant Now) {
-  bool Present = this->Session.hasWorker() &&
-                 isSameIncarnation(this->Session.profile().life(), Life);
+void LeaseKeeper::onWorkerLeft(const WorkerIncarnation &Worker, Instant Now) {
+  bool Present =
+      this->Session.hasWorker() &&
+      isSameIncarnation(this->Session.profile().workerIncarnation(), Worker);
   if (Present)
     this->leave("the worker has left", Now);
 }
@@ -188,18 +193,18 @@
   this->Log.decision("leaving", {{"reason", Reason},
                                  {"queued", this->Queue.size()},
                                  {"tasks", this->Tasks.size()}});
-  this->giveBackQueue(peer::REFUSAL_LEAVING, Reason, Now);
+  this->rejectQueued(peer::REFUSAL_LEAVING, Reason, Now);
 }
 
-void LeaseKeeper::giveBackQueue(peer::LeasedRefusal Why,
-                                const std::string &Reason, Instant Now) {
-  this->Desk.clearInterests();
+void LeaseKeeper::rejectQueued(peer::LeasedRefusal Cause,
+                               const std::string &Reason, Instant Now) {
+  this->Offers.clearInterests();
   std::vector<TaskId> Waiting = this->Queue;
   for (const TaskId &Id : Waiting)
-    this->dropTask(Id, Why, Reason, Now);
+    this->dropTask(Id, Cause, Reason, Now);
 }
 
-void LeaseKeeper::giveBackOversized(Instant Now) {
+void LeaseKeeper::rejectOversized(Instant Now) {
   const peer::TaskNeeds &Room = this->Session.profile().Room;
   std::vector<TaskId> Waiting = this->Queue;
   for (const TaskId &Id : Waiting)
@@ -214,67 +219,69 @@
 
 // ---- What entries are told ----
 
-void LeaseKeeper::say(const TaskId &Id, const Task &Which,
-                      peer::LeasedEvent Event, peer::LeasedRefusal Refusal,
-                      const std::string &Reason, Instant Now, bool WorkerLost) {
+void LeaseKeeper::sendUpdate(const TaskId &Id, const Task &TheTask,
+                             peer::LeasedEvent Event,
+                             peer::LeasedRefusal Refusal,
+                             const std::string &Reason, Instant Now,
+                             bool WorkerLost) {
   peer::Message Message;
   peer::LeasedUpdate *Update = Message.mutable_leased_update();
   Update->set_worker_lost(WorkerLost);
   Update->set_job(Id.Job);
   Update->set_index(Id.Index);
-  Update->set_attempt(Which.Attempt);
-  Update->set_order(Which.Order);
+  Update->set_attempt(TheTask.Attempt);
+  Update->set_order(TheTask.Order);
   Update->set_event(Event);
   Update->set_refusal(Refusal);
   Update->set_reason(Reason);
-  if (Which.State != Phase::Queued)
-    Update->set_service_us((Now.Steady - Which.Started).count());
-  *Update->mutable_load() = this->loadFor(Which.Owner.Node, Now);
-  this->Ended[{Which.Owner.Node, Which.Order}] = Now.Steady;
-  if (Event == peer::LEASED_DONE && this->mayLinger(Id, Which)) {
-    Lingering &Held = this->Untold[Which.Owner.Node];
+  if (TheTask.State != Phase::Queued)
+    Update->set_service_us((Now.Steady - TheTask.Started).count());
+  *Update->mutable_load() = this->loadFor(TheTask.Owner.Node, Now);
+  this->Ended[{TheTask.Owner.Node, TheTask.Order}] = Now.Steady;
+  if (Event == peer::LEASED_DONE && this->canBatch(Id, TheTask)) {
+    UpdateBatch &Held = this->PendingUpdates[TheTask.Owner.Node];
     if (Held.Updates.empty())
-      Held = {Which.Owner, Now.Steady + this->Options.EndBatchDelay, {}};
+      Held = {TheTask.Owner, Now.Steady + this->Options.EndBatchDelay, {}};
     Held.Updates.push_back(std::move(Message));
     return;
   }
-  this->tellLingering(Which.Owner);
-  this->Sink.send(Which.Owner, std::move(Message));
+  this->flushUpdates(TheTask.Owner);
+  this->Sink.send(TheTask.Owner, std::move(Message));
 }
 
-bool LeaseKeeper::mayLinger(const TaskId &Id, const Task &Which) const {
+bool LeaseKeeper::canBatch(const TaskId &Id, const Task &TheTask) const {
   if (this->Options.EndBatchDelay.count() == 0)
     return false;
   auto First = this->Tasks.lower_bound({Id.Job, 0});
   for (auto It = First; It != this->Tasks.end() && It->first.Job == Id.Job;
        ++It)
     if (It->first.Index != Id.Index &&
-        It->second.Owner.Node == Which.Owner.Node)
+        It->second.Owner.Node == TheTask.Owner.Node)
       return true;
   return false;
 }
 
-void LeaseKeeper::tellLingering(const PeerRef &Entry) {
-  auto Found = this->Untold.find(Entry.Node);
-  if (Found == this->Untold.end())
+void LeaseKeeper::flushUpdates(const PeerRef &Entry) {
+  auto Found = this->PendingUpdates.find(Entry.Node);
+  if (Found == this->PendingUpdates.end())
     return;
   for (peer::Message &Update : Found->second.Updates)
     this->Sink.send(Entry, std::move(Update));
-  this->Untold.erase(Found);
+  this->PendingUpdates.erase(Found);
 }
 
-void LeaseKeeper::tickLingering(Instant Now) {
+void LeaseKeeper::flushDueUpdates(Instant Now) {
   std::vector<PeerRef> Due;
-  for (const auto &[Entry, Held] : this->Untold)
+  for (const auto &[Entry, Held] : this->PendingUpdates)
     if (Now.Steady >= Held.Until)
       Due.push_back(Held.Entry);
   for (const PeerRef &Entry : Due)
-    this->tellLingering(Entry);
+    this->flushUpdates(Entry);
 }
 
 void LeaseKeeper::onUndelivered(const Undelivered &Lost, Instant Now) {
   // An entry that is gone renews nothing, and then nobody waits.
-  if (!this->EntriesHeard.contains(Lost.To.Node))
+  if (!this->EntryLeaseEnds.contains(Lost.To.Node))
     return;
   int Updates = 0;
   for (const peer::Message &Message : Lost.Envelope->messages()) {
@@ -304,7 +311,7 @@
   for (const Crash &Known : this->Crashes)
     if (WithAllCrashes ||
         Now.Steady - Known.At < this->Options.RecentCrashWindow)
-      *Load.add_crashes() = Known.Told;
+      *Load.add_crashes() = Known.Report;
   if (this->Session.hasWorker())
     *Load.mutable_room() = this->Session.profile().Room;
   Load.set_failures_in_row(this->FailuresInRow);
--- a/agent/lease_keeper_leases.cpp
+++ b/agent/lease_keeper_leases.cpp
@@ -6,13 +6,13 @@
 
 namespace yardwheel {
 
-void LeaseKeeper::noteLife(const PeerRef &From, Instant Now) {
-  std::uint64_t &Life = this->EntryLives[From.Node];
-  bool Restarted = Life != 0 && Life != From.Incarnation;
-  Life = From.Incarnation;
+void LeaseKeeper::noteIncarnation(const PeerRef &From, Instant Now) {
+  std::uint64_t &LastKnown = this->EntryIncarnations[From.Node];
+  bool Restarted = LastKnown != 0 && LastKnown != From.Incarnation;
+  LastKnown = From.Incarnation;
   if (!Restarted)
     return;
-  this->EntriesHeard.erase(From.Node);
+  this->EntryLeaseEnds.erase(From.Node);
   std::vector<TaskId> Orphaned;
   for (const auto &[Id, Known] : this->Tasks)
     if (Known.Owner.Node == From.Node &&
@@ -44,7 +44,7 @@
   if (Left.count() == 0)
     return;
   TimePoint Until = Now.Steady + Left;
-  TimePoint &Heard = this->EntriesHeard[From.Node];
+  TimePoint &Heard = this->EntryLeaseEnds[From.Node];
   Heard = std::max(Heard, Until);
   for (auto &[Id, Known] : this->Tasks)
     if (Known.Owner.Node == From.Node && Orders.contains(Known.Order))
@@ -68,10 +68,10 @@
   this->dropExpired(Now);
   this->Session.tick(Now);
   this->sweep(Now);
-  for (const peer::TaskNeeds &Room : this->Desk.releaseExpired(Now.Steady))
-    this->giveRoomBack(Room);
+  for (const peer::TaskNeeds &Room : this->Offers.releaseExpired(Now.Steady))
+    this->releaseRoom(Room);
   this->startFitting(Now);
-  this->tickLingering(Now);
+  this->flushDueUpdates(Now);
 }
 
 void LeaseKeeper::dropExpired(Instant Now) {
@@ -80,7 +80,7 @@
 }
 
 void LeaseKeeper::dropLapsed(Instant Now) {
-  std::erase_if(this->EntriesHeard,
+  std::erase_if(this->EntryLeaseEnds,
                 [&](const auto &Item) { return Now.Steady >= Item.second; });
   std::map<std::string, std::vector<TaskId>> Lapsed;
   for (const auto &[Id, Known] : this->Tasks)
@@ -91,7 +91,7 @@
     this->Log.decision("lease_lapsed",
                        {{"entry", Entry},
                         {"lease_ms", this->Options.EntryLease.count()},
-                        {"entry_heard", this->EntriesHeard.contains(Entry)},
+                        {"entry_heard", this->EntryLeaseEnds.contains(Entry)},
                         {"tasks", Concerned.size()}});
     for (const TaskId &Id : Concerned)
       this->dropTask(Id, peer::REFUSAL_STALE, "its entry's lease lapsed", Now);
--- a/agent/offer_desk.cpp
+++ b/agent/offer_desk.cpp
@@ -34,12 +34,12 @@
   });
 }
 
-std::uint64_t OfferQueue::hold(Interest &For, std::uint32_t Tasks,
+std::uint64_t OfferQueue::hold(Interest &Target, std::uint32_t Tasks,
                                TimePoint Now) {
-  For.Tasks -= Tasks;
-  this->Offers[++this->LastOffer] = {For.Entry.Node, For.Job, Tasks,
-                                     multiplyNeeds(For.Needs, Tasks),
-                                     Now + this->HoldFor};
+  Target.Tasks -= Tasks;
+  this->Offers[++this->LastOffer] = {Target.Entry.Node, Target.Job, Tasks,
+                                     multiplyNeeds(Target.Needs, Tasks),
+                                     Now + this->Timeout};
   return this->LastOffer;
 }
 
--- a/agent/offer_desk.h
+++ b/agent/offer_desk.h
@@ -32,8 +32,8 @@
 
 class OfferQueue {
 public:
-  /// \param HoldFor How long offered room is held for an answer.
-  explicit OfferQueue(std::chrono::milliseconds HoldFor) : HoldFor(HoldFor) {}
+  /// \param Timeout How long offered room is held for an answer.
+  explicit OfferQueue(std::chrono::milliseconds Timeout) : Timeout(Timeout) {}
 
   void add(Interest New);
   /// No more tasks of the job wait at this entry.
@@ -44,7 +44,7 @@
   void dropStale(TimePoint Now);
 
   /// Holds room for some tasks. \returns the number of the offer.
-  std::uint64_t hold(Interest &For, std::uint32_t Tasks, TimePoint Now);
+  std::uint64_t hold(Interest &Target, std::uint32_t Tasks, TimePoint Now);
   /// The offer has been answered by this entry, and this many tasks are sent
   /// for it; with fewer than were offered, no more of the job wait. \returns
   /// the room that it held, if it did; numbers of offers begin anew with each
@@ -65,7 +65,7 @@
     peer::TaskNeeds Room;
     TimePoint Until;
   };
-  std::chrono::milliseconds HoldFor;
+  std::chrono::milliseconds Timeout;
   std::vector<Interest> Interests;
   std::map<std::uint64_t, Held> Offers;
   std::uint64_t LastOffer = 0;
--- a/agent/worker_port.h
+++ b/agent/worker_port.h
@@ -66,7 +66,9 @@
   std::uint64_t Sequence = 0;
   WorkerTime Clock{};
 
-  WorkerIncarnation life() const { return {this->Id, this->StartUnixMs}; }
+  WorkerIncarnation workerIncarnation() const {
+    return {this->Id, this->StartUnixMs};
+  }
 };
 
 struct StartCall {
@@ -127,7 +129,7 @@
   /// Counts a worker life's ends from 1.
   std::uint64_t Number = 0;
   RunKey Run;
-  RunOutcome How = RunOutcome::Other;
+  RunOutcome Outcome = RunOutcome::Other;
 };
 
 struct WorkerReply {
--- a/agent/worker_session.cpp
+++ b/agent/worker_session.cpp
@@ -60,21 +60,21 @@
 
 // ---- The worker's clock, lease and token ----
 
-void WorkerSession::noteClock(const WorkerReply &Reply, Instant Now) {
+void WorkerSession::recordClock(const WorkerReply &Reply, Instant Now) {
   if (!Reply.Clock)
     return;
-  this->ClockRead = *Reply.Clock;
-  this->ClockReadAt = Now.Steady;
+  this->ClockReading = *Reply.Clock;
+  this->ClockReadingTime = Now.Steady;
   this->LastAnswer = Now.Steady;
   // The word of another life says nothing of this one.
   if (Reply.Refusal != WorkerRefusal::OtherIncarnation)
-    this->UnheardSince.reset();
+    this->SilentSince.reset();
 }
 
-void WorkerSession::noteUnanswered(Instant Now) {
+void WorkerSession::recordLostCall(Instant Now) {
   this->LastLoss = Now.Steady;
-  if (!this->UnheardSince)
-    this->UnheardSince = Now.Steady;
+  if (!this->SilentSince)
+    this->SilentSince = Now.Steady;
 }
 
 TimePoint WorkerSession::nextLeaseEnd(Instant Now) const {
@@ -87,17 +87,17 @@
   // A worker shortens no lease.
   this->LeaseEnds = std::max(this->LeaseEnds, Ends);
   auto Since = std::chrono::duration_cast<std::chrono::milliseconds>(
-      Now.Steady - this->ClockReadAt);
+      Now.Steady - this->ClockReadingTime);
   if (Since > this->Options.MaxClockReadingAge)
     Since = {};
-  return this->ClockRead + Since +
+  return this->ClockReading + Since +
          std::chrono::floor<std::chrono::milliseconds>(Ends - Now.Steady);
 }
 
 void WorkerSession::raiseToken(Instant Now) {
   std::uint64_t Refused = this->Token;
-  std::uint64_t DayTime = static_cast<std::uint64_t>(toUnixMillis(Now.Wall));
-  std::uint64_t Ahead = this->Token > DayTime ? this->Token - DayTime : 0;
+  std::uint64_t UnixMs = static_cast<std::uint64_t>(toUnixMillis(Now.Wall));
+  std::uint64_t Ahead = this->Token > UnixMs ? this->Token - UnixMs : 0;
   this->Token += TokenStep + Ahead;
   this->Log.decision("fencing_token_raised", {{"worker", this->Profile->Id},
                                               {"refused", Refused},
@@ -111,11 +111,11 @@
   Run &New = this->Runs[Key];
   New = Run();
   New.Spec = Spec;
-  New.CalledAt = Now.Steady;
-  this->callStart(Key, New, Now);
+  New.StartTime = Now.Steady;
+  this->sendStart(Key, New, Now);
 }
 
-void WorkerSession::callStart(const RunKey &Key, const Run &Known,
+void WorkerSession::sendStart(const RunKey &Key, const Run &Known,
                               Instant Now) {
   this->Port.start({Key, Known.Spec, this->extendLease(Now), this->Token});
 }
@@ -123,25 +123,25 @@
 void WorkerSession::stop(const RunKey &Key, Instant Now) {
   auto Found = this->Runs.find(Key);
   if (Found != this->Runs.end() && Found->second.State != Phase::Stopping)
-    this->callStop(Key, Found->second, Now);
+    this->sendStop(Key, Found->second, Now);
 }
 
-void WorkerSession::callStop(const RunKey &Key, Run &Known, Instant Now) {
+void WorkerSession::sendStop(const RunKey &Key, Run &Known, Instant Now) {
   Known.State = Phase::Stopping;
   Known.NextStop = Now.Steady + this->Options.StopRetryInterval;
   this->Port.stop({Key, this->Token});
 }
 
-void WorkerSession::onStartReply(const WorkerIncarnation &Life,
+void WorkerSession::onStartReply(const WorkerIncarnation &Worker,
                                  const RunKey &Key, const WorkerReply &Reply,
                                  Instant Now) {
-  if (!this->isCurrent(Life))
+  if (!this->isCurrent(Worker))
     return;
-  if (this->isFromOtherLife(Reply)) {
-    this->replaceLife(Reply, Now);
+  if (this->isFromOtherIncarnation(Reply)) {
+    this->replaceIncarnation(Reply, Now);
     return;
   }
-  this->noteClock(Reply, Now);
+  this->recordClock(Reply, Now);
   auto Found = this->Runs.find(Key);
   if (Found == this->Runs.end())
     return;
@@ -161,13 +161,13 @@
     this->refuse(Key, Reply.Refusal, Now);
   // An earlier start may have begun it, or may still do so.
   else if (Known.State == Phase::Starting)
-    this->callStop(Key, Known, Now);
+    this->sendStop(Key, Known, Now);
 }
 
 void WorkerSession::onStartLost(const RunKey &Key, Run &Known,
                                 const WorkerReply &Reply, Instant Now) {
   ++Known.StartsLost;
-  this->noteUnanswered(Now);
+  this->recordLostCall(Now);
   this->Log.decision("start_unanswered", {{"job", Key.Job},
                                           {"task", Key.Index},
                                           {"run", Key.Run},
@@ -177,27 +177,27 @@
   if (Known.State != Phase::Starting)
     return;
   if (Known.StartsLost < this->Options.MaxStartAttempts)
-    this->callStart(Key, Known, Now);
+    this->sendStart(Key, Known, Now);
   else
-    this->callStop(Key, Known, Now);
+    this->sendStop(Key, Known, Now);
 }
 
-void WorkerSession::onStopReply(const WorkerIncarnation &Life,
+void WorkerSession::onStopReply(const WorkerIncarnation &Worker,
                                 const RunKey &Key, const WorkerReply &Reply,
                                 Instant Now) {
-  if (!this->isCurrent(Life))
+  if (!this->isCurrent(Worker))
     return;
-  if (this->isFromOtherLife(Reply)) {
-    this->replaceLife(Reply, Now);
+  if (this->isFromOtherIncarnation(Reply)) {
+    this->replaceIncarnation(Reply, Now);
     return;
   }
-  this->noteClock(Reply, Now);
+  this->recordClock(Reply, Now);
   if (Reply.Answered && Reply.Refusal == WorkerRefusal::Fenced)
     this->raiseToken(Now);
   bool Confirmed = Reply.Answered && Reply.Refusal == WorkerRefusal::None;
   if (!Confirmed)
     return;
-  this->Strangers.erase(Key);
+  this->OrphanedRuns.erase(Key);
   auto Found = this->Runs.find(Key);
   if (Found == this->Runs.end())
     return;
@@ -207,7 +207,7 @@
   Known.StopConfirmedAt = std::min(Known.StopConfirmedAt, Now.Steady);
   // One that never began is not listed as ended, nor legibly one whose end
   // could not be read.
-  bool NotTold = Known.StartsLost > 0 || Known.EndUnread;
+  bool NotTold = Known.StartsLost > 0 || Known.EndUnreadable;
   if (NotTold && Known.StoppedAt == TimePoint::max())
     Known.StoppedAt = Now.Steady + this->Options.MaxStopDuration;
 }
@@ -219,14 +219,15 @@
              Now.Steady - this->Options.MaxStopDuration;
 }
 
-void WorkerSession::refuse(const RunKey &Key, WorkerRefusal Why, Instant Now) {
+void WorkerSession::refuse(const RunKey &Key, WorkerRefusal Cause,
+                           Instant Now) {
   this->Runs.erase(Key);
-  this->Events.onRunRefused(Key, Why, Now);
+  this->Events.onRunRefused(Key, Cause, Now);
 }
 
-void WorkerSession::end(const RunKey &Key, RunOutcome How, Instant Now) {
+void WorkerSession::end(const RunKey &Key, RunOutcome Outcome, Instant Now) {
   this->Runs.erase(Key);
-  this->Events.onRunEnded(Key, How, Now);
+  this->Events.onRunEnded(Key, Outcome, Now);
 }
 
 // ---- The lease and the ends ----
@@ -234,7 +235,7 @@
 std::chrono::milliseconds WorkerSession::holdWait(Instant Now) const {
   if (!this->Ready)
     return this->Options.FirstHoldWait;
-  if (this->InDoubt)
+  if (this->LastHoldFailed)
     return {};
   if (this->Runs.empty())
     return this->Options.IdleHoldWait;
@@ -243,15 +244,15 @@
   return Lossy ? this->Options.HoldWaitAfterLoss : this->Options.HoldWait;
 }
 
-void WorkerSession::callHold(std::chrono::milliseconds Wait, Instant Now) {
-  ++this->HoldsOut;
+void WorkerSession::sendHold(std::chrono::milliseconds Wait, Instant Now) {
+  ++this->PendingHolds;
   HoldCall Call;
   Call.FencingToken = this->Token;
   Call.AcknowledgedEnd = this->Acknowledged;
   Call.Wait = Wait;
   // A worker that may not hear us is given no lease, so that its last one can
   // be told to have lapsed.
-  bool Extends = this->Ready && !this->InDoubt && !this->Runs.empty() &&
+  bool Extends = this->Ready && !this->LastHoldFailed && !this->Runs.empty() &&
                  this->nextLeaseEnd(Now) > Now.Steady;
   if (Extends)
     Call.LeaseUntil = this->extendLease(Now);
@@ -262,25 +263,25 @@
   // Where the lease may not last as long as it could, calls gain little.
   bool Gains =
       this->nextLeaseEnd(Now) - this->LeaseEnds >= this->Options.Lease / 8;
-  bool Due = !this->Runs.empty() && this->Ready && !this->InDoubt && Gains &&
-             this->LeaseEnds - Now.Steady < this->Options.Lease / 2;
+  bool Due = !this->Runs.empty() && this->Ready && !this->LastHoldFailed &&
+             Gains && this->LeaseEnds - Now.Steady < this->Options.Lease / 2;
   if (Due)
-    this->callHold({}, Now);
+    this->sendHold({}, Now);
 }
 
-void WorkerSession::onHoldReply(const WorkerIncarnation &Life,
+void WorkerSession::onHoldReply(const WorkerIncarnation &Worker,
                                 const WorkerReply &Reply, Instant Now) {
-  if (!this->isCurrent(Life))
+  if (!this->isCurrent(Worker))
     return;
-  this->HoldsOut = std::max(this->HoldsOut - 1, 0);
-  if (this->isFromOtherLife(Reply)) {
-    this->replaceLife(Reply, Now);
+  this->PendingHolds = std::max(this->PendingHolds - 1, 0);
+  if (this->isFromOtherIncarnation(Reply)) {
+    this->replaceIncarnation(Reply, Now);
     return;
   }
-  this->noteClock(Reply, Now);
+  this->recordClock(Reply, Now);
   if (!this->Candidates.empty()) {
-    this->judgeCandidates(Reply, Now);
-    if (!this->isCurrent(Life))
+    this->resolveCandidates(Reply, Now);
+    if (!this->isCurrent(Worker))
       return;
   }
   if (!Reply.Answered || Reply.Refusal != WorkerRefusal::None) {
@@ -288,22 +289,22 @@
     return;
   }
   this->Answering = true;
-  this->InDoubt = false;
-  this->LapsedUnheard.clear();
-  this->logBadRows(Reply, Now);
-  this->noteRunning(Reply);
-  this->takeEnds(Reply, Now);
-  this->settleBadEnds(Reply, Now);
+  this->LastHoldFailed = false;
+  this->LapsedWhileSilent.clear();
+  this->logUnreadableRows(Reply, Now);
+  this->markListedRuns(Reply);
+  this->processEnds(Reply, Now);
+  this->resolveUnreadableEnds(Reply, Now);
   if (!this->Ready)
-    this->adoptStrangers(Reply, Now);
+    this->stopOrphanedRuns(Reply, Now);
   // The worker tells an end that is not acknowledged at once, in each reply.
-  if (this->BadEndsSince)
+  if (this->UnreadableEndsSince)
     this->NextHold = Now.Steady + this->Options.HoldRetryInterval;
-  else if (this->HoldsOut == 0)
-    this->callHold(this->holdWait(Now), Now);
+  else if (this->PendingHolds == 0)
+    this->sendHold(this->holdWait(Now), Now);
 }
 
-void WorkerSession::noteRunning(const WorkerReply &Reply) {
+void WorkerSession::markListedRuns(const WorkerReply &Reply) {
   for (const RunKey &Key : Reply.Running) {
     auto Found = this->Runs.find(Key);
     if (Found != this->Runs.end())
@@ -311,63 +312,65 @@
   }
 }
 
-void WorkerSession::takeEnds(const WorkerReply &Reply, Instant Now) {
+void WorkerSession::processEnds(const WorkerReply &Reply, Instant Now) {
   for (const EndedRun &Ended : Reply.Ended) {
     // A worker forgets all ends up to an acknowledged one. One that could not
     // be read would be lost, and its run would hold its room for good.
     std::uint64_t Read = std::min(Ended.Number, Reply.ReadUpTo);
     this->Acknowledged = std::max(this->Acknowledged, Read);
-    this->Strangers.erase(Ended.Run);
+    this->OrphanedRuns.erase(Ended.Run);
     if (this->Runs.contains(Ended.Run))
-      this->end(Ended.Run, Ended.How, Now);
-    else if (this->Inherited.erase(Ended.Run) > 0)
-      this->Events.onRunEnded(Ended.Run, Ended.How, Now);
+      this->end(Ended.Run, Ended.Outcome, Now);
+    else if (this->InheritedRuns.erase(Ended.Run) > 0)
+      this->Events.onRunEnded(Ended.Run, Ended.Outcome, Now);
   }
 }
 
-void WorkerSession::settleBadEnds(const WorkerReply &Reply, Instant Now) {
+void WorkerSession::resolveUnreadableEnds(const WorkerReply &Reply,
+                                          Instant Now) {
   if (Reply.ReadUpTo == UINT64_MAX) {
-    this->BadEndsSince.reset();
+    this->UnreadableEndsSince.reset();
     return;
   }
-  if (!this->BadEndsSince) {
-    this->BadEndsSince = Now.Steady;
-    this->BadEndsUpTo = 0;
+  if (!this->UnreadableEndsSince) {
+    this->UnreadableEndsSince = Now.Steady;
+    this->LastReadableEnd = 0;
     // Not by the bad ones: with a number far too high, later ends would be
     // lost.
     for (const EndedRun &Ended : Reply.Ended)
-      this->BadEndsUpTo = std::max(this->BadEndsUpTo, Ended.Number);
+      this->LastReadableEnd = std::max(this->LastReadableEnd, Ended.Number);
   }
   // Which run is meant cannot be told without all of the other list.
-  bool Old =
-      Now.Steady - *this->BadEndsSince >= this->Options.UnreadableEndsTimeout;
+  bool Old = Now.Steady - *this->UnreadableEndsSince >=
+             this->Options.UnreadableEndsTimeout;
   if (!Old || Reply.UnreadableRunning > 0 || this->stopUnlisted(Reply, Now))
     return;
   // Kept for longer, such ends would fill the list that a worker gives, and
   // hide later ones.
-  this->Acknowledged = std::max(this->Acknowledged, this->BadEndsUpTo);
-  this->BadEndsSince.reset();
+  this->Acknowledged = std::max(this->Acknowledged, this->LastReadableEnd);
+  this->UnreadableEndsSince.reset();
 }
 
 bool WorkerSession::stopUnlisted(const WorkerReply &Reply, Instant Now) {
   bool Any = false;
   for (auto &[Key, Known] : this->Runs) {
     bool Listed = std::ranges::find(Reply.Running, Key) != Reply.Running.end();
-    if (Listed || Known.CalledAt > *this->BadEndsSince)
+    if (Listed || Known.StartTime > *this->UnreadableEndsSince)
       continue;
     Any = true;
     // The reply may be older than the run's start, so its word is not proof.
-    if (!Known.EndUnread && Known.State != Phase::Stopping)
-      this->callStop(Key, Known, Now);
-    Known.EndUnread = true;
+    if (!Known.EndUnreadable && Known.State != Phase::Stopping)
+      this->sendStop(Key, Known, Now);
+    Known.EndUnreadable = true;
   }
   return Any;
 }
 
-void WorkerSession::logBadRows(const WorkerReply &Reply, Instant Now) {
-  if (Reply.UnreadableRows == 0 || Now.Steady < this->NextBadRowsLog)
+void WorkerSession::logUnreadableRows(const WorkerReply &Reply, Instant Now) {
+  if (Reply.UnreadableRows == 0 || Now.Steady < this->NextUnreadableRowsLog)
     return;
-  this->NextBadRowsLog = Now.Steady + this->Options.UnreadableRowsLogInterval;
+  this->NextUnreadableRowsLog =
+      Now.Steady + this->Options.UnreadableRowsLogInterval;
   this->Log.decision("reply_rows_skipped",
                      {{"worker", this->Profile->Id},
                       {"rows", Reply.UnreadableRows},
@@ -381,9 +384,9 @@
     this->raiseToken(Now);
     return;
   }
-  this->InDoubt = true;
+  this->LastHoldFailed = true;
   if (!Reply.Answered)
-    this->noteUnanswered(Now);
+    this->recordLostCall(Now);
   bool Silent = Now.Steady - this->LastAnswer >= this->Options.SilenceTimeout;
   if (!this->Answering || !Silent)
     return;
@@ -395,14 +398,14 @@
   this->Events.onWorkerSilent(Now);
 }
 
-void WorkerSession::adoptStrangers(const WorkerReply &Reply, Instant Now) {
-  this->Strangers.clear();
+void WorkerSession::stopOrphanedRuns(const WorkerReply &Reply, Instant Now) {
+  this->OrphanedRuns.clear();
   for (const RunKey &Key : Reply.Running)
-    this->callStop(Key, this->Strangers[Key], Now);
+    this->sendStop(Key, this->OrphanedRuns[Key], Now);
   bool Unknown = this->mayHaveUnknownRuns(Reply, Now);
-  if (Unknown || !this->Strangers.empty())
+  if (Unknown || !this->OrphanedRuns.empty())
     return;
-  this->settleInherited(Now);
+  this->settleInheritedRuns(Now);
   this->Ready = true;
   this->Log.decision("worker_ready", {{"worker", this->Profile->Id},
                                       {"fencing_token", this->Token}});
@@ -413,27 +416,27 @@
 bool WorkerSession::mayHaveUnknownRuns(const WorkerReply &Reply, Instant Now) {
   if (Reply.UnreadableRunning == 0)
     return false;
-  if (!this->BadRunningSince)
-    this->BadRunningSince = Now.Steady;
+  if (!this->UnreadableRunningSince)
+    this->UnreadableRunningSince = Now.Steady;
   // They cannot be stopped by name, and would go on under the leases that a
   // ready worker is given. Without any, they lapse.
-  return Now.Steady - *this->BadRunningSince <
+  return Now.Steady - *this->UnreadableRunningSince <
          this->Options.Lease + this->Options.LeaseExpiryMargin;
 }
 
 void WorkerSession::tick(Instant Now) {
   if (!this->Profile)
     return;
-  if (this->HoldsOut == 0 && Now.Steady >= this->NextHold)
-    this->callHold(this->holdWait(Now), Now);
+  if (this->PendingHolds == 0 && Now.Steady >= this->NextHold)
+    this->sendHold(this->holdWait(Now), Now);
   this->renewIfDue(Now);
-  bool HasRuns = !this->Runs.empty() || !this->Inherited.empty();
-  bool Lapsed = this->InDoubt && HasRuns &&
+  bool HasRuns = !this->Runs.empty() || !this->InheritedRuns.empty();
+  bool Lapsed = this->LastHoldFailed && HasRuns &&
                 Now.Steady >= this->LeaseEnds + this->Options.LeaseExpiryMargin;
   if (Lapsed) {
     for (const auto &[Key, Known] : this->Runs)
-      this->LapsedUnheard[Key] = Known.CalledAt;
-    this->lapseAll(Now);
+      this->LapsedWhileSilent[Key] = Known.StartTime;
+    this->lapseAllRuns(Now);
   }
   this->tickRuns(Now);
 }
@@ -444,10 +447,10 @@
     if (Now.Steady >= Known.StoppedAt)
       Stopped.push_back(Key);
     else if (Known.State == Phase::Stopping && Now.Steady >= Known.NextStop)
-      this->callStop(Key, Known, Now);
+      this->sendStop(Key, Known, Now);
   }
   for (const RunKey &Key : Stopped) {
-    bool Unread = this->Runs.at(Key).EndUnread;
+    bool Unread = this->Runs.at(Key).EndUnreadable;
     this->end(Key, Unread ? RunOutcome::Other : RunOutcome::Unanswered, Now);
   }
 }
--- a/agent/worker_session.h
+++ b/agent/worker_session.h
@@ -80,9 +80,10 @@
 public:
   virtual ~SessionEvents() = default;
   /// Proof that the run has not begun and will not.
-  virtual void onRunRefused(const RunKey &Run, WorkerRefusal Why,
+  virtual void onRunRefused(const RunKey &Run, WorkerRefusal Cause,
                             Instant Now) = 0;
-  virtual void onRunEnded(const RunKey &Run, RunOutcome How, Instant Now) = 0;
+  virtual void onRunEnded(const RunKey &Run, RunOutcome Outcome,
+                          Instant Now) = 0;
   /// The agent now speaks to another life of the worker; what ran in the last
   /// one is told as ended next.
   virtual void onWorkerAttached(Instant Now) = 0;
@@ -124,11 +125,11 @@
   void start(const RunKey &Run, const std::string &Spec, Instant Now);
   void stop(const RunKey &Run, Instant Now);
 
-  void onStartReply(const WorkerIncarnation &Life, const RunKey &Run,
+  void onStartReply(const WorkerIncarnation &Worker, const RunKey &Run,
                     const WorkerReply &Reply, Instant Now);
-  void onStopReply(const WorkerIncarnation &Life, const RunKey &Run,
+  void onStopReply(const WorkerIncarnation &Worker, const RunKey &Run,
                    const WorkerReply &Reply, Instant Now);
-  void onHoldReply(const WorkerIncarnation &Life, const WorkerReply &Reply,
+  void onHoldReply(const WorkerIncarnation &Worker, const WorkerReply &Reply,
                    Instant Now);
   void tick(Instant Now);
 
@@ -140,7 +141,7 @@
   /// has not been told yet.
   bool hasStopped(const RunKey &Run, Instant Now) const;
   /// Whether the worker's last reply came in time; else it may be gone.
-  bool isResponsive() const { return this->Ready && !this->InDoubt; }
+  bool isResponsive() const { return this->Ready && !this->LastHoldFailed; }
 
 private:
   enum class Phase { Starting, Running, Stopping };
@@ -154,10 +155,10 @@
     TimePoint NextStop = TimePoint::min();
     /// When a stop was first confirmed.
     TimePoint StopConfirmedAt = TimePoint::max();
-    TimePoint CalledAt;
+    TimePoint StartTime;
     /// It was not listed beside ends that could not be read, and is stopped: a
     /// confirmed stop proves that it has ended.
-    bool EndUnread = false;
+    bool EndUnreadable = false;
     /// The worker's life that it was begun for has listed it as running.
     bool Listed = false;
     /// When a confirmed stop of such a run has taken effect.
@@ -167,53 +168,53 @@
   void attach(const WorkerProfile &New, Instant Now);
   /// Turns to another life of the same id, which has answered in place of the
   /// present one.
-  void replaceLife(const WorkerReply &Reply, Instant Now);
+  void replaceIncarnation(const WorkerReply &Reply, Instant Now);
   /// Whether another life of the same id has answered.
-  bool isFromOtherLife(const WorkerReply &Reply) const;
+  bool isFromOtherIncarnation(const WorkerReply &Reply) const;
   /// Takes what a life that was known by its answers only says of itself.
   void completeProfile(const WorkerProfile &New, Instant Now);
   /// Ends what had been begun for the last life of this id, once the present
   /// one has none of it.
-  void settleInherited(Instant Now);
+  void settleInheritedRuns(Instant Now);
   void addCandidate(const WorkerProfile &New);
   /// Takes a later word of the present life.
-  void refresh(const WorkerProfile &New, Instant Now);
+  void updateProfile(const WorkerProfile &New, Instant Now);
   /// Decides on lives that were announced beside one that may be alive.
-  void judgeCandidates(const WorkerReply &Reply, Instant Now);
-  void callStart(const RunKey &Key, const Run &Known, Instant Now);
+  void resolveCandidates(const WorkerReply &Reply, Instant Now);
+  void sendStart(const RunKey &Key, const Run &Known, Instant Now);
   void onStartLost(const RunKey &Key, Run &Known, const WorkerReply &Reply,
                    Instant Now);
-  void noteClock(const WorkerReply &Reply, Instant Now);
+  void recordClock(const WorkerReply &Reply, Instant Now);
   /// Until when a call that is made now may extend the worker's lease.
   TimePoint nextLeaseEnd(Instant Now) const;
   /// The same, on the worker's clock, for a call that goes out.
   WorkerTime extendLease(Instant Now);
-  bool isCurrent(const WorkerIncarnation &Life) const;
+  bool isCurrent(const WorkerIncarnation &Worker) const;
   void raiseToken(Instant Now);
-  void callHold(std::chrono::milliseconds Wait, Instant Now);
+  void sendHold(std::chrono::milliseconds Wait, Instant Now);
   std::chrono::milliseconds holdWait(Instant Now) const;
   /// Renews the lease while a call for ends that cannot waits at the worker.
   void renewIfDue(Instant Now);
-  void callStop(const RunKey &Key, Run &Known, Instant Now);
+  void sendStop(const RunKey &Key, Run &Known, Instant Now);
   void onHoldFailed(const WorkerReply &Reply, Instant Now);
   void tickRuns(Instant Now);
-  void lapseAll(Instant Now);
+  void lapseAllRuns(Instant Now);
   /// Tells of what ran when the present life ended, if that was a crash.
-  void tellCrash(Instant Now);
-  void noteUnanswered(Instant Now);
-  void noteRunning(const WorkerReply &Reply);
-  void takeEnds(const WorkerReply &Reply, Instant Now);
+  void reportCrash(Instant Now);
+  void recordLostCall(Instant Now);
+  void markListedRuns(const WorkerReply &Reply);
+  void processEnds(const WorkerReply &Reply, Instant Now);
   /// Replaces ends that stay unreadable by what else is known of their runs.
-  void settleBadEnds(const WorkerReply &Reply, Instant Now);
+  void resolveUnreadableEnds(const WorkerReply &Reply, Instant Now);
   /// Stops the runs that the worker does not list and that the bad ends may
   /// mean. \returns whether there are any.
   bool stopUnlisted(const WorkerReply &Reply, Instant Now);
-  void logBadRows(const WorkerReply &Reply, Instant Now);
-  void adoptStrangers(const WorkerReply &Reply, Instant Now);
+  void logUnreadableRows(const WorkerReply &Reply, Instant Now);
+  void stopOrphanedRuns(const WorkerReply &Reply, Instant Now);
   /// Whether runs that could not be read may still be alive.
   bool mayHaveUnknownRuns(const WorkerReply &Reply, Instant Now);
-  void end(const RunKey &Key, RunOutcome How, Instant Now);
-  void refuse(const RunKey &Key, WorkerRefusal Why, Instant Now);
+  void end(const RunKey &Key, RunOutcome Outcome, Instant Now);
+  void refuse(const RunKey &Key, WorkerRefusal Cause, Instant Now);
 
   SessionOptions Options;
   Logger Log{"worker"};
@@ -226,41 +227,41 @@
   std::deque<WorkerProfile> Candidates;
   std::uint64_t Token = 0;
   /// A reading of the worker's clock, and ours when it came.
-  WorkerTime ClockRead{};
-  TimePoint ClockReadAt;
+  WorkerTime ClockReading{};
+  TimePoint ClockReadingTime;
   std::uint64_t Acknowledged = 0;
   /// Since when ends have not been readable, and the last readable one then.
-  std::optional<TimePoint> BadEndsSince;
-  std::uint64_t BadEndsUpTo = 0;
+  std::optional<TimePoint> UnreadableEndsSince;
+  std::uint64_t LastReadableEnd = 0;
   /// Since when running rows have not been readable.
-  std::optional<TimePoint> BadRunningSince;
-  TimePoint NextBadRowsLog = TimePoint::min();
+  std::optional<TimePoint> UnreadableRunningSince;
+  TimePoint NextUnreadableRowsLog = TimePoint::min();
   bool Ready = false;
   /// The present life has said what it is.
   bool Announced = false;
   bool Answering = true;
   /// The last call for ends failed: whether the worker hears us is not known.
-  bool InDoubt = false;
+  bool LastHoldFailed = false;
   TimePoint LastAnswer;
   TimePoint LastLoss = TimePoint::min();
   /// When the newest lease that the worker may have been given ends.
   TimePoint LeaseEnds = TimePoint::min();
   /// Calls for ends that have not come back.
-  int HoldsOut = 0;
+  int PendingHolds = 0;
   TimePoint NextHold = TimePoint::min();
   std::map<RunKey, Run> Runs;
   /// When the first call since the worker was last heard stayed without a
   /// reply.
-  std::optional<TimePoint> UnheardSince;
+  std::optional<TimePoint> SilentSince;
   /// Runs that have lapsed since the worker was last heard, and when they were
   /// started. If it is heard no more, they were there when it ended.
-  std::map<RunKey, TimePoint> LapsedUnheard;
+  std::map<RunKey, TimePoint> LapsedWhileSilent;
   /// Runs of an earlier agent, or of the last life of this id, that have to end
   /// first.
-  std::map<RunKey, Run> Strangers;
+  std::map<RunKey, Run> OrphanedRuns;
   /// Runs that were begun for the last life of this id. Calls name a life by
   /// its id, so that the present one may have them.
-  std::map<RunKey, Run> Inherited;
+  std::map<RunKey, Run> InheritedRuns;
 };
 
 /// A refusal's and an end's name in logs.
--- a/agent/worker_session_lives.cpp
+++ b/agent/worker_session_lives.cpp
@@ -17,9 +17,10 @@
 } // namespace
 
 void WorkerSession::onProfile(const WorkerProfile &New, Instant Now) {
-  if (this->Profile && isSameIncarnation(this->Profile->life(), New.life())) {
+  if (this->Profile && isSameIncarnation(this->Profile->workerIncarnation(),
+                                         New.workerIncarnation())) {
     if (this->Announced)
-      this->refresh(New, Now);
+      this->updateProfile(New, Now);
     else
       this->completeProfile(New, Now);
     return;
@@ -29,7 +30,7 @@
     return;
   }
   this->addCandidate(New);
-  this->callHold({}, Now);
+  this->sendHold({}, Now);
 }
 
 void WorkerSession::completeProfile(const WorkerProfile &New, Instant Now) {
@@ -45,7 +46,7 @@
     this->Events.onWorkerReady(Now);
 }
 
-void WorkerSession::refresh(const WorkerProfile &New, Instant Now) {
+void WorkerSession::updateProfile(const WorkerProfile &New, Instant Now) {
   this->Profile->Draining |= New.Draining;
   // One that was held up on its way must not give room back that has gone.
   if (New.Sequence <= this->Profile->Sequence)
@@ -68,7 +69,8 @@
 
 void WorkerSession::addCandidate(const WorkerProfile &New) {
   auto IsNew = [&](const WorkerProfile &Known) {
-    return isSameIncarnation(Known.life(), New.life());
+    return isSameIncarnation(Known.workerIncarnation(),
+                             New.workerIncarnation());
   };
   auto Known = std::ranges::find_if(this->Candidates, IsNew);
   if (Known != this->Candidates.end() && Known->Sequence > New.Sequence)
@@ -79,16 +81,16 @@
   this->Candidates.push_back(New);
 }
 
-bool WorkerSession::isFromOtherLife(const WorkerReply &Reply) const {
+bool WorkerSession::isFromOtherIncarnation(const WorkerReply &Reply) const {
   return Reply.Answered && Reply.StartUnixMs && this->Profile->StartUnixMs &&
          *Reply.StartUnixMs != *this->Profile->StartUnixMs;
 }
 
-void WorkerSession::replaceLife(const WorkerReply &Reply, Instant Now) {
+void WorkerSession::replaceIncarnation(const WorkerReply &Reply, Instant Now) {
   WorkerIncarnation Present{this->Profile->Id, Reply.StartUnixMs};
   auto Known =
       std::ranges::find_if(this->Candidates, [&](const WorkerProfile &Each) {
-        return isSameIncarnation(Each.life(), Present);
+        return isSameIncarnation(Each.workerIncarnation(), Present);
       });
   bool HasAnnounced = Known != this->Candidates.end();
   // Until it announces itself, where it was found.
@@ -108,7 +110,7 @@
   this->Announced = HasAnnounced;
 }
 
-void WorkerSession::judgeCandidates(const WorkerReply &Reply, Instant Now) {
+void WorkerSession::resolveCandidates(const WorkerReply &Reply, Instant Now) {
   bool Lives = Reply.Answered && Reply.Refusal == WorkerRefusal::None;
   bool Replaced =
       Reply.Answered && Reply.Refusal == WorkerRefusal::OtherIncarnation;
@@ -131,7 +133,8 @@
            {"reason", "the present life of the worker replies"}});
     this->Candidates.clear();
   } else if (Next != this->Candidates.end() &&
-             (Replaced || (this->Runs.empty() && this->Inherited.empty()))) {
+             (Replaced ||
+              (this->Runs.empty() && this->InheritedRuns.empty()))) {
     // The others are judged by whether this one is there.
     WorkerProfile New = *Next;
     this->Candidates.erase(Next);
@@ -140,45 +143,45 @@
   // Otherwise its runs may go on until their lease has lapsed.
 }
 
-void WorkerSession::tellCrash(Instant Now) {
+void WorkerSession::reportCrash(Instant Now) {
   std::map<RunKey, TimePoint> Started;
-  std::swap(Started, this->LapsedUnheard);
+  std::swap(Started, this->LapsedWhileSilent);
   for (const auto &[Key, Known] : this->Runs)
-    Started[Key] = Known.CalledAt;
+    Started[Key] = Known.StartTime;
   std::vector<RunKey> Last;
   // What was sent later found nobody.
   for (const auto &[Key, At] : Started)
-    if (!this->UnheardSince || At <= *this->UnheardSince)
+    if (!this->SilentSince || At <= *this->SilentSince)
       Last.push_back(Key);
-  this->UnheardSince.reset();
+  this->SilentSince.reset();
   bool Planned = !this->Profile || this->Profile->Draining;
   if (!Planned && !Last.empty())
     this->Events.onWorkerCrashed(Last, Now);
 }
 
 void WorkerSession::attach(const WorkerProfile &New, Instant Now) {
-  this->tellCrash(Now);
+  this->reportCrash(Now);
   bool SharesId = this->Profile && this->Profile->Id == New.Id;
   this->Profile = New;
   this->Announced = true;
-  this->ClockRead = New.Clock;
-  this->ClockReadAt = Now.Steady;
+  this->ClockReading = New.Clock;
+  this->ClockReadingTime = Now.Steady;
   this->Acknowledged = 0;
-  this->BadEndsSince.reset();
-  this->BadRunningSince.reset();
+  this->UnreadableEndsSince.reset();
+  this->UnreadableRunningSince.reset();
   this->Ready = false;
   this->Answering = true;
-  this->InDoubt = false;
+  this->LastHoldFailed = false;
   this->LastAnswer = Now.Steady;
   // Calls until now may have brought a life of this id the longest lease, as
   // their deadlines were on the last one's clock.
   this->LeaseEnds = SharesId ? Now.Steady + this->Options.Lease : Now.Steady;
-  this->HoldsOut = 0;
-  this->Strangers.clear();
+  this->PendingHolds = 0;
+  this->OrphanedRuns.clear();
   // The time of day is higher than in any earlier life of this agent, unless
   // the clock was set back; then the worker refuses it and it is raised.
-  std::uint64_t DayTime = static_cast<std::uint64_t>(toUnixMillis(Now.Wall));
-  this->Token = std::max(this->Token + 1, DayTime);
+  std::uint64_t UnixMs = static_cast<std::uint64_t>(toUnixMillis(Now.Wall));
+  this->Token = std::max(this->Token + 1, UnixMs);
   this->Log.decision("worker_attached", {{"worker", New.Id},
                                          {"born", New.StartUnixMs.value_or(0)},
                                          {"address", New.Address},
@@ -189,16 +192,16 @@
   this->Port.attach(New);
   this->Events.onWorkerAttached(Now);
   if (SharesId)
-    this->Inherited.merge(this->Runs);
+    this->InheritedRuns.merge(this->Runs);
   else
-    this->lapseAll(Now);
+    this->lapseAllRuns(Now);
   this->Runs.clear();
-  this->callHold(this->holdWait(Now), Now);
+  this->sendHold(this->holdWait(Now), Now);
 }
 
-void WorkerSession::settleInherited(Instant Now) {
+void WorkerSession::settleInheritedRuns(Instant Now) {
   std::map<RunKey, Run> Over;
-  std::swap(Over, this->Inherited);
+  std::swap(Over, this->InheritedRuns);
   for (const auto &[Key, Known] : Over) {
     // A start that was not listed then, or was sent again, may have been
     // carried out by the present life, and its end acknowledged unread.
@@ -208,16 +211,17 @@
   }
 }
 
-void WorkerSession::lapseAll(Instant Now) {
+void WorkerSession::lapseAllRuns(Instant Now) {
   std::map<RunKey, Run> Lost;
   std::swap(Lost, this->Runs);
   for (const auto &[Key, Known] : Lost)
     this->Events.onRunEnded(Key, RunOutcome::Lapsed, Now);
-  this->settleInherited(Now);
+  this->settleInheritedRuns(Now);
 }
 
-bool WorkerSession::isCurrent(const WorkerIncarnation &Life) const {
-  return this->Profile && isSameIncarnation(this->Profile->life(), Life);
+bool WorkerSession::isCurrent(const WorkerIncarnation &Worker) const {
+  return this->Profile &&
+         isSameIncarnation(this->Profile->workerIncarnation(), Worker);
 }
 
 } // namespace yardwheel
--- a/emulator/leased_agent.h
+++ b/emulator/leased_agent.h
@@ -54,7 +54,7 @@
                    std::chrono::milliseconds Late);
 
   void attach(const WorkerProfile &New) override {
-    this->Attached = New.life();
+    this->Attached = New.workerIncarnation();
   }
   void start(const StartCall &Call) override;
   void stop(const StopCall &Call) override;
--- a/entry/crash_record.cpp
+++ b/entry/crash_record.cpp
@@ -24,7 +24,7 @@
                            const std::string &Agent, std::uint64_t Incarnation,
                            TimePoint Now) {
   // Its crash has named the tasks that may be the cause, and not this one.
-  WorkerIncarnation Life{Agent, Incarnation};
+  WorkerLife Life{Agent, Incarnation};
   if (!this->Crashes.contains(Life))
     this->touch({Job, Index}, Now).Lost.insert(std::move(Life));
 }
@@ -32,7 +32,7 @@
 std::vector<std::string> CrashRecord::noteCrash(const std::string &Agent,
                                                 const peer::WorkerCrash &Crash,
                                                 TimePoint Now) {
-  WorkerIncarnation Life{Agent, Crash.incarnation()};
+  WorkerLife Life{Agent, Crash.incarnation()};
   // An agent tells each crash many times.
   bool Told = this->Crashes.contains(Life);
   this->Crashes[Life] = Now;
@@ -78,7 +78,7 @@
     if (this->judge(It->second) != CrashVerdict::GivenUp)
       continue;
     std::string Agents;
-    for (const WorkerIncarnation &Life : It->second.Crashed)
+    for (const WorkerLife &Life : It->second.Crashed)
       Agents += (Agents.empty() ? "" : ", ") + Life.Agent;
     return fmt::format("task {} has crashed the upstreams of {}",
                        It->first.Index, Agents);
--- a/entry/crash_record.h
+++ b/entry/crash_record.h
@@ -79,18 +79,18 @@
              std::tie(Other.Job, Other.Index);
     }
   };
-  struct WorkerIncarnation {
+  struct WorkerLife {
     std::string Agent;
     std::uint64_t Incarnation = 0;
-    bool operator<(const WorkerIncarnation &Other) const {
+    bool operator<(const WorkerLife &Other) const {
       return std::tie(this->Agent, this->Incarnation) <
              std::tie(Other.Agent, Other.Incarnation);
     }
   };
   struct Suspicion {
     /// Lives that were lost under it, and of these, those that have crashed.
-    std::set<WorkerIncarnation> Lost;
-    std::set<WorkerIncarnation> Crashed;
+    std::set<WorkerLife> Lost;
+    std::set<WorkerLife> Crashed;
     /// Of these, the number on which it was started last.
     std::size_t StartedLast = 0;
     TimePoint Used;
@@ -102,7 +102,7 @@
   CrashRecordOptions Options;
   std::map<TaskName, Suspicion> Tasks;
   /// Crashes that have been accounted for, and when they were last told.
-  std::map<WorkerIncarnation, TimePoint> Crashes;
+  std::map<WorkerLife, TimePoint> Crashes;
 };
 
 } // namespace yardwheel
--- a/tests/agent/keeper_fixture.h
+++ b/tests/agent/keeper_fixture.h
@@ -18,7 +18,7 @@
 namespace yardwheel {
 
 /// A worker that starts what it is told to and ends it when a test says so.
-class ObedientPort final : public WorkerPort {
+class FakeWorkerPort final : public WorkerPort {
 public:
   void attach(const WorkerProfile &) override {}
   void start(const StartCall &Call) override { this->Starts.push_back(Call); }
@@ -59,7 +59,7 @@
 constexpr std::uint64_t AgentIncarnation = 7;
 inline const PeerRef EntryA{"entry-a", "10.0.0.1:1"};
 inline const PeerRef EntryB{"entry-b", "10.0.0.2:1"};
-inline constexpr std::chrono::milliseconds TickEvery{20};
+inline constexpr std::chrono::milliseconds TickInterval{20};
 inline const std::string WorkerId("w");
 
 /// \param CountFromEcho Whether leases count from the stamp that an entry
@@ -74,7 +74,7 @@
 /// The group of all tests of the keeper.
 class KeeperFixture : public Utest {
 public:
-  ObedientPort Port;
+  FakeWorkerPort Port;
   CollectingSink Sink;
   std::uint64_t LastOrder = 0;
   Instant Now{TimePoint(std::chrono::hours(1)), fromUnixMillis(1800000000000)};
@@ -138,15 +138,16 @@
   }
   std::uint64_t stamp() { return LeaseKeeper::stampAt(this->Now); }
   void pass(LeaseKeeper &Keeper, std::chrono::milliseconds Time) {
-    for (std::chrono::milliseconds Step{}; Step < Time; Step += TickEvery) {
-      this->Now.Steady += TickEvery;
+    for (std::chrono::milliseconds Step{}; Step < Time; Step += TickInterval) {
+      this->Now.Steady += TickInterval;
       Keeper.tick(this->Now);
     }
   }
-  void end(LeaseKeeper &Keeper, std::size_t Start, RunOutcome How) {
+  void end(LeaseKeeper &Keeper, std::size_t Start, RunOutcome Outcome) {
     WorkerReply Reply;
     Reply.Answered = true;
-    Reply.Ended.push_back({++this->Ends, this->Port.Starts[Start].Run, How});
+    Reply.Ended.push_back(
+        {++this->Ends, this->Port.Starts[Start].Run, Outcome});
     Keeper.session().onHoldReply({WorkerId}, Reply, this->Now);
   }
   std::uint64_t Ends = 0;
--- a/tests/agent/keeper_news_test.cpp
+++ b/tests/agent/keeper_news_test.cpp
@@ -7,10 +7,10 @@
 using namespace std::chrono_literals;
 
 // What the keeper tells entries: ends of runs, and room that falls free.
-TEST_GROUP_BASE(KeeperNewsTest, KeeperFixture){};
+TEST_GROUP_BASE(KeeperUpdatesTest, KeeperFixture){};
 
 // An entry answers only when all tasks of a job are done.
-TEST(KeeperNewsTest, EndsOfOneJobAreToldTogetherAndTheLastAtOnce) {
+TEST(KeeperUpdatesTest, EndsOfOneJobAreToldTogetherAndTheLastAtOnce) {
   LeaseKeeper Keeper(optionsWith(true), Sink, Port);
   attach(Keeper);
   Keeper.onMessage(EntryA, dispatch("j", stamp(), 1000, 100, 3), Now);
@@ -21,7 +21,7 @@
   LONGS_EQUAL(3, Sink.Updates.size());
 }
 
-TEST(KeeperNewsTest, AnEndThatWaitsForOthersIsToldSoonAnyhow) {
+TEST(KeeperUpdatesTest, AnEndThatWaitsForOthersIsToldSoonAnyhow) {
   struct Row {
     const char *Name;
     std::function<void(LeaseKeeper &)> Prompt;
@@ -50,7 +50,7 @@
   }
 }
 
-TEST(KeeperNewsTest, UpdatesAreToldAgainWhileTheirEntryRenewsItsLease) {
+TEST(KeeperUpdatesTest, UpdatesAreToldAgainWhileTheirEntryRenewsItsLease) {
   LeaseKeeper Keeper(optionsWith(true), Sink, Port);
   attach(Keeper);
   Keeper.onMessage(EntryA, dispatch("j", stamp()), Now);
@@ -68,9 +68,9 @@
   LONGS_EQUAL(2, Sink.Updates.size());
 }
 
-TEST(KeeperNewsTest, EveryEndIsToldOnce) {
+TEST(KeeperUpdatesTest, EveryEndIsToldOnce) {
   struct Row {
-    RunOutcome How;
+    RunOutcome Outcome;
     peer::LeasedEvent Expected;
     peer::LeasedRefusal Blame = peer::REFUSAL_NONE;
   };
@@ -86,7 +86,7 @@
   std::size_t Start = 0;
   for (const Row &Row : Rows) {
     Keeper.onMessage(EntryA, dispatch("j", stamp()), Now);
-    end(Keeper, Start++, Row.How);
+    end(Keeper, Start++, Row.Outcome);
     LONGS_EQUAL(Start, Sink.Updates.size());
     CHECK(Sink.Updates.back().event() == Row.Expected);
     CHECK(Sink.Updates.back().refusal() == Row.Blame);
@@ -95,7 +95,7 @@
   }
 }
 
-TEST(KeeperNewsTest, FreedRoomIsOfferedToTheMostUrgentThatWaitElsewhere) {
+TEST(KeeperUpdatesTest, FreedRoomIsOfferedToTheMostUrgentThatWaitElsewhere) {
   LeaseKeeper Keeper(optionsWith(true), Sink, Port);
   attach(Keeper, 2000);
   Keeper.onMessage(EntryA, dispatch("long", stamp(), 1000, 500, 2), Now);
@@ -116,7 +116,7 @@
   STRCMP_EQUAL("urgent", Port.Starts[2].Run.Job.c_str());
 }
 
-TEST(KeeperNewsTest, OfferedRoomThatIsNotTakenUpIsUsedByOthers) {
+TEST(KeeperUpdatesTest, OfferedRoomThatIsNotTakenUpIsUsedByOthers) {
   struct Row {
     const char *Name;
     bool Declined;
@@ -145,7 +145,7 @@
 
 // Offers are numbered anew in each life of an agent, and two entries may have
 // the same job.
-TEST(KeeperNewsTest, AnEntryAnswersOnlyForItsOwnOffersAndJobs) {
+TEST(KeeperUpdatesTest, AnEntryAnswersOnlyForItsOwnOffersAndJobs) {
   struct Row {
     const char *Name;
     PeerRef From;
@@ -170,7 +170,7 @@
   }
 }
 
-TEST(KeeperNewsTest, ALeavingAgentOffersNoRoom) {
+TEST(KeeperUpdatesTest, ALeavingAgentOffersNoRoom) {
   LeaseKeeper Keeper(optionsWith(true), Sink, Port);
   attach(Keeper, 1000);
   Keeper.leave("test", Now);
--- a/tests/agent/lease_keeper_test.cpp
+++ b/tests/agent/lease_keeper_test.cpp
@@ -38,7 +38,7 @@
 TEST(LeaseKeeperTest, ARestartedEntryKeepsNothingOfItsEarlierLife) {
   struct Row {
     const char *Name;
-    std::uint64_t Life;
+    std::uint64_t Incarnation;
     std::size_t Stops;
   };
   const Row Rows[] = {{"the same life", 5, 0},
@@ -49,7 +49,7 @@
     LeaseKeeper Keeper(optionsWith(true), Sink, Port);
     attach(Keeper);
     const PeerRef Before{EntryA.Node, EntryA.Address, 5};
-    const PeerRef After{EntryA.Node, EntryA.Address, Row.Life};
+    const PeerRef After{EntryA.Node, EntryA.Address, Row.Incarnation};
     Keeper.onMessage(Before, dispatch("j", stamp()), Now);
     Keeper.onMessage(EntryB, dispatch("other", stamp()), Now);
     pass(Keeper, 200ms);
@@ -177,7 +177,7 @@
 TEST(LeaseKeeperTest, ADispatchThatIsSentAgainStartsNothingAgain) {
   struct Row {
     const char *Name;
-    RunOutcome How;
+    RunOutcome Outcome;
     bool Ends;
     bool Leaves;
   };
@@ -195,7 +195,7 @@
     Keeper.onMessage(EntryA, Order, Now);
     std::size_t Starts = Row.Leaves ? 0 : 1;
     if (Row.Ends)
-      end(Keeper, 0, Row.How);
+      end(Keeper, 0, Row.Outcome);
     std::size_t Told = Sink.Updates.size();
     Keeper.onMessage(EntryA, Order, Now);
     LONGS_EQUAL_TEXT(Starts, Port.Starts.size(), Row.Name);
@@ -249,7 +249,7 @@
 
 TEST(LeaseKeeperTest, FailuresInARowAreCountedUntilARunIsDone) {
   struct Row {
-    RunOutcome How;
+    RunOutcome Outcome;
     std::uint32_t Expected;
   };
   const Row Rows[] = {{RunOutcome::Failed, 1},  {RunOutcome::Unanswered, 2},
@@ -260,7 +260,7 @@
   std::size_t Start = 0;
   for (const Row &Row : Rows) {
     Keeper.onMessage(EntryA, dispatch("j", stamp()), Now);
-    end(Keeper, Start++, Row.How);
+    end(Keeper, Start++, Row.Outcome);
     LONGS_EQUAL(Row.Expected, Sink.Updates.back().load().failures_in_row());
   }
 }
--- a/tests/agent/session_recorders.h
+++ b/tests/agent/session_recorders.h
@@ -18,16 +18,18 @@
 class RecordingPort final : public WorkerPort {
 public:
   void attach(const WorkerProfile &Profile) override {
-    this->Life = Profile.Id;
+    this->Id = Profile.Id;
     this->StartUnixMs = Profile.StartUnixMs;
   }
   void start(const StartCall &Call) override { this->Starts.push_back(Call); }
   void stop(const StopCall &Call) override { this->Stops.push_back(Call); }
   void hold(const HoldCall &Call) override { this->Holds.push_back(Call); }
-  WorkerIncarnation life() const { return {this->Life, this->StartUnixMs}; }
+  WorkerIncarnation workerIncarnation() const {
+    return {this->Id, this->StartUnixMs};
+  }
 
   /// The id of the life that calls go to, and its time of birth.
-  std::string Life;
+  std::string Id;
   std::optional<std::uint64_t> StartUnixMs;
   std::vector<StartCall> Starts;
   std::vector<StopCall> Stops;
@@ -36,11 +38,11 @@
 
 class RecordingEvents final : public SessionEvents {
 public:
-  void onRunRefused(const RunKey &, WorkerRefusal Why, Instant) override {
-    this->Refusals.push_back(Why);
+  void onRunRefused(const RunKey &, WorkerRefusal Cause, Instant) override {
+    this->Refusals.push_back(Cause);
   }
-  void onRunEnded(const RunKey &, RunOutcome How, Instant) override {
-    this->Ends.push_back(How);
+  void onRunEnded(const RunKey &, RunOutcome Outcome, Instant) override {
+    this->Ends.push_back(Outcome);
   }
   void onWorkerAttached(Instant) override { ++this->Attached; }
   void onWorkerCrashed(const std::vector<RunKey> &Runs, Instant) override {
--- a/tests/agent/worker_lives_test.cpp
+++ b/tests/agent/worker_lives_test.cpp
@@ -40,7 +40,7 @@
 
 } // namespace
 
-TEST_GROUP(WorkerLivesTest) {
+TEST_GROUP(WorkerIncarnationTest) {
   RecordingPort Port;
   RecordingEvents Events;
   SessionOptions Options;
@@ -70,7 +70,7 @@
     Session.onHoldReply(First, Held, Now);
   }
   /// The second life answers a call that was meant for the first.
-  void beReplaced() {
+  void replaceFirst() {
     pass(2s);
     WorkerReply Reply = replyOf(SecondBorn);
     Reply.Clock = WorkerTime(700);
@@ -83,7 +83,7 @@
   }
 };
 
-TEST(WorkerLivesTest, ALowerSequenceOfANewLifeIsNotALateWord) {
+TEST(WorkerIncarnationTest, ALowerSequenceOfANewLifeIsNotALateWord) {
   attachFirst();
   WorkerProfile New = profileOf(SecondBorn, 1);
   New.Room.set_cpu_milli(8000);
@@ -98,7 +98,7 @@
 
 // Also where the clocks of hosts were set back between the two: which of them
 // is there is asked, not concluded from which was born first.
-TEST(WorkerLivesTest, ALateAnnouncementOfAnotherLifeChangesNothing) {
+TEST(WorkerIncarnationTest, ALateAnnouncementOfAnotherLifeChangesNothing) {
   for (std::uint64_t Other : {FirstBorn - 5000, FirstBorn + 5000}) {
     attachFirst();
     WorkerProfile Late = profileOf(Other, 99);
@@ -114,7 +114,7 @@
 }
 
 // No answer says which of two lives is there; the next one will.
-TEST(WorkerLivesTest, SilenceDecidesNothingBetweenLivesOfOneId) {
+TEST(WorkerIncarnationTest, SilenceDecidesNothingBetweenLivesOfOneId) {
   attachFirst();
   Session.onProfile(profileOf(FirstBorn - 5000, 99), Now);
   Session.onHoldReply(First, WorkerReply(), Now);
@@ -126,14 +126,14 @@
 }
 
 // A worker forgets its ends up to the number that it is told.
-TEST(WorkerLivesTest, EndsAreCountedAnewInEachLife) {
+TEST(WorkerIncarnationTest, EndsAreCountedAnewInEachLife) {
   attachFirst();
   startRun(Run);
   WorkerReply Told = replyOf(FirstBorn);
   Told.Ended.push_back({57, Run, RunOutcome::Done});
   Session.onHoldReply(First, Told, Now);
   LONGS_EQUAL(57, Port.Holds.back().AcknowledgedEnd);
-  beReplaced();
+  replaceFirst();
   LONGS_EQUAL(0, Port.Holds.back().AcknowledgedEnd);
   settleSecond(replyOf(SecondBorn));
   Run.Run = 2;
@@ -147,9 +147,9 @@
 
 // A deadline on the clock of the last life would be the longest lease that the
 // new one grants.
-TEST(WorkerLivesTest, LeasesGoByTheClockOfTheLifeThatGrantsThem) {
+TEST(WorkerIncarnationTest, LeasesGoByTheClockOfTheLifeThatGrantsThem) {
   attachFirst();
-  beReplaced();
+  replaceFirst();
   settleSecond(replyOf(SecondBorn));
   Session.start(Run, "spec", Now);
   CHECK(Port.Starts.back().LeaseUntil <= WorkerTime(700) + Options.Lease);
@@ -158,17 +158,17 @@
 
 // Calls that were meant for the last life, and are carried out late, are
 // refused by the token of the first call that was meant for the new one.
-TEST(WorkerLivesTest, ANewLifeGetsAHigherToken) {
+TEST(WorkerIncarnationTest, ANewLifeGetsAHigherToken) {
   attachFirst();
   std::uint64_t Before = Port.Holds.back().FencingToken;
-  beReplaced();
+  replaceFirst();
   CHECK(Port.Holds.back().FencingToken > Before);
 }
 
-TEST(WorkerLivesTest, RepliesOfTheLastLifeChangeNothing) {
+TEST(WorkerIncarnationTest, RepliesOfTheLastLifeChangeNothing) {
   attachFirst();
   startRun(Run);
-  beReplaced();
+  replaceFirst();
   settleSecond(replyOf(SecondBorn));
   Run.Run = 2;
   Session.start(Run, "spec", Now);
@@ -186,11 +186,11 @@
 }
 
 // It was known to run in the life that has ended.
-TEST(WorkerLivesTest, WhatRanInTheLastLifeHasLapsedAndCountsAsACrash) {
+TEST(WorkerIncarnationTest, WhatRanInTheLastLifeHasLapsedAndCountsAsACrash) {
   attachFirst();
   startRun(Run);
   proveFirst(Run);
-  beReplaced();
+  replaceFirst();
   settleSecond(replyOf(SecondBorn));
   LONGS_EQUAL(1, Events.Ends.size());
   CHECK(Events.Ends[0] == RunOutcome::Lapsed);
@@ -199,10 +199,10 @@
 
 // Its id let the new life take a start that was meant for the last one. Told as
 // ended it would be begun elsewhere beside itself.
-TEST(WorkerLivesTest, WhatANewLifeHasBegunForTheLastIsStoppedFirst) {
+TEST(WorkerIncarnationTest, WhatANewLifeHasBegunForTheLastIsStoppedFirst) {
   attachFirst();
   startRun(Run);
-  beReplaced();
+  replaceFirst();
   WorkerReply Held = replyOf(SecondBorn);
   Held.Running.push_back(Run);
   settleSecond(Held);
@@ -220,20 +220,21 @@
 
 // The new life may have begun it, ended it, and forgotten that end for an
 // acknowledgement that was meant for the last life.
-TEST(WorkerLivesTest, WhatMayHaveEndedUnheardIsNotToldAsLapsed) {
+TEST(WorkerIncarnationTest, WhatMayHaveEndedUnheardIsNotToldAsLapsed) {
   attachFirst();
   pass(10ms);
   startRun(Run);
-  beReplaced();
+  replaceFirst();
   settleSecond(replyOf(SecondBorn));
   LONGS_EQUAL(1, Events.Ends.size());
   CHECK(Events.Ends[0] == RunOutcome::Unknown);
 }
 
 // What it is must be known from itself: another life may have another room.
-TEST(WorkerLivesTest, ALifeThatOnlyAnsweredGetsNothingBeforeItsAnnouncement) {
+TEST(WorkerIncarnationTest,
+     ALifeThatOnlyAnsweredGetsNothingBeforeItsAnnouncement) {
   attachFirst();
-  beReplaced();
+  replaceFirst();
   Session.onHoldReply(Second, replyOf(SecondBorn), Now);
   CHECK_FALSE(Session.isReady());
   int Ready = Events.Ready;
@@ -248,7 +249,7 @@
 }
 
 // An id that is not there proves that no life of that id is.
-TEST(WorkerLivesTest, AnotherIdAtTheAddressRulesOutEachLifeOfThisOne) {
+TEST(WorkerIncarnationTest, AnotherIdAtTheAddressRulesOutEachLifeOfThisOne) {
   attachFirst();
   Session.onProfile(profileOf(SecondBorn, 1), Now);
   Session.onHoldReply(First, replyOf({}, WorkerRefusal::OtherIncarnation), Now);
@@ -260,7 +261,7 @@
   STRCMP_EQUAL("other", Session.profile().Id.c_str());
 }
 
-TEST(WorkerLivesTest, WithoutATimeOfBirthTheIdAloneIsTheLife) {
+TEST(WorkerIncarnationTest, WithoutATimeOfBirthTheIdAloneIsTheLife) {
   struct Row {
     const char *Name;
     std::optional<std::uint64_t> Announced;
@@ -278,15 +279,15 @@
     int Attached = Events.Attached;
     WorkerSession Fresh(Options, Port, Events);
     Fresh.onProfile(profileOf(Row.Announced, 1), Now);
-    Fresh.onHoldReply(Port.life(), replyOf(Row.Replied), Now);
+    Fresh.onHoldReply(Port.workerIncarnation(), replyOf(Row.Replied), Now);
     Fresh.onProfile(profileOf(Row.Again, 2), Now);
-    Fresh.onHoldReply(Port.life(), replyOf(Row.Replied), Now);
+    Fresh.onHoldReply(Port.workerIncarnation(), replyOf(Row.Replied), Now);
     LONGS_EQUAL_TEXT(Attached + 1, Events.Attached, Row.Name);
     CHECK_TEXT(Fresh.isReady(), Row.Name);
   }
 }
 
-TEST_GROUP_BASE(KeeperLivesTest, KeeperFixture){
+TEST_GROUP_BASE(KeeperIncarnationTest, KeeperFixture){
     WorkerProfile profileBorn(std::uint64_t StartUnixMs){
         WorkerProfile Profile = profileOf(StartUnixMs, 1);
 Profile.Id = WorkerId;
@@ -310,7 +311,7 @@
 ;
 
 // Held up on its way, it would take a new life out of use for good.
-TEST(KeeperLivesTest, ALateLeavingOfAnEarlierLifeChangesNothing) {
+TEST(KeeperIncarnationTest, ALateLeavingOfAnEarlierLifeChangesNothing) {
   LeaseKeeper Keeper(optionsWith(true), Sink, Port);
   beginLife(Keeper, SecondBorn);
   Keeper.onWorkerLeft({WorkerId, FirstBorn}, Now);
@@ -320,7 +321,7 @@
 }
 
 // Entries tell lives of a worker apart by the agent's number for each.
-TEST(KeeperLivesTest, EachLifeOfOneIdHasANumberOfItsOwnForEntries) {
+TEST(KeeperIncarnationTest, EachLifeOfOneIdHasANumberOfItsOwnForEntries) {
   LeaseKeeper Keeper(optionsWith(true), Sink, Port);
   beginLife(Keeper, FirstBorn);
   std::uint64_t Before = Keeper.incarnation();
@@ -334,7 +335,7 @@
 
 // The entry is told nothing that would let it place the task again; it takes
 // it for lost with the agent's earlier life.
-TEST(KeeperLivesTest, ATaskOfUnknownEndIsNotGivenBackForAnotherStart) {
+TEST(KeeperIncarnationTest, ATaskOfUnknownEndIsNotGivenBackForAnotherStart) {
   LeaseKeeper Keeper(optionsWith(true), Sink, Port);
   beginLife(Keeper, FirstBorn);
   Keeper.onMessage(EntryA, dispatch("job", stamp()), Now);
@@ -350,19 +351,19 @@
 }
 
 // A crash of one life is not counted for the next one of its id.
-TEST(KeeperLivesTest, CrashesAreToldByLife) {
+TEST(KeeperIncarnationTest, CrashesAreToldByLife) {
   LeaseKeeper Keeper(optionsWith(true), Sink, Port);
   beginLife(Keeper, FirstBorn);
-  std::uint64_t Life = Keeper.incarnation();
+  std::uint64_t Incarnation = Keeper.incarnation();
   Keeper.onMessage(EntryA, dispatch("job", stamp()), Now);
   replaceLife(Keeper, replyOf(SecondBorn));
   Keeper.onMessage(EntryA, renewal(stamp()), Now);
   LONGS_EQUAL(1, Sink.Load.crashes_size());
-  CHECK(Sink.Load.crashes(0).incarnation() == Life);
+  CHECK(Sink.Load.crashes(0).incarnation() == Incarnation);
 }
 
 // A worker refuses a run that is not above one that it has seen.
-TEST(KeeperLivesTest, RunNumbersGoOnRisingAcrossLives) {
+TEST(KeeperIncarnationTest, RunNumbersGoOnRisingAcrossLives) {
   LeaseKeeper Keeper(optionsWith(true), Sink, Port);
   beginLife(Keeper, FirstBorn);
   Keeper.onMessage(EntryA, dispatch("job", stamp()), Now);
--- a/tests/agent/worker_room_test.cpp
+++ b/tests/agent/worker_room_test.cpp
@@ -24,9 +24,9 @@
 const PeerRef Entry{"entry", "10.0.0.1:1"};
 
 /// An agent and its worker.
-class RoomBench {
+class RoomFixture {
 public:
-  RoomBench() : Keeper(options(), this->Sink, this->Port) {
+  RoomFixture() : Keeper(options(), this->Sink, this->Port) {
     this->announce(1, 4);
     WorkerReply Ready;
     Ready.Answered = true;
@@ -98,7 +98,7 @@
                       }));
   }
 
-  ObedientPort Port;
+  FakeWorkerPort Port;
   CollectingSink Sink;
   Instant Now{TimePoint(1h), fromUnixMillis(1800000000000)};
   LeaseKeeper Keeper;
@@ -134,7 +134,7 @@
                       {"to nothing", {{2, 0}}, 0},
                       {"and back", {{2, 0}, {3, 4}}, 4}};
   for (const Row &Row : Rows) {
-    RoomBench Bench;
+    RoomFixture Bench;
     for (const Word &Said : Row.Words)
       Bench.announce(Said.Sequence, Said.Cores);
     LONGS_EQUAL_TEXT(Row.Cores * Core, Bench.load().room().cpu_milli(),
@@ -145,7 +145,7 @@
 }
 
 TEST(WorkerRoomTest, WhatRunsGoesOnAndNothingStartsUntilItFits) {
-  RoomBench Bench;
+  RoomFixture Bench;
   Bench.dispatch("running", 4);
   Bench.announce(2, 2);
   LONGS_EQUAL(0, Bench.Port.Stops.size());
@@ -158,7 +158,7 @@
 }
 
 TEST(WorkerRoomTest, WhatWaitedIsGivenBackAsNotStarted) {
-  RoomBench Bench;
+  RoomFixture Bench;
   Bench.dispatch("running", 4);
   Bench.dispatch("waits", 3);
   Bench.announce(2, 2);
@@ -168,7 +168,7 @@
 
 // Else it would keep its turn for good, and others from theirs.
 TEST(WorkerRoomTest, ATaskLargerThanTheRoomIsRefusedAndHoldsUpNobody) {
-  RoomBench Bench;
+  RoomFixture Bench;
   Bench.dispatch("large", 1, 0, /*Cores=*/3);
   Bench.dispatch("waits", 1, 0, /*Cores=*/3);
   Bench.endFirst();
@@ -186,7 +186,7 @@
 }
 
 TEST(WorkerRoomTest, OfferedRoomThatHasGoneStartsNothing) {
-  RoomBench Bench;
+  RoomFixture Bench;
   Bench.dispatch("running", 2);
   Bench.askForOffer("offered", 2);
   LONGS_EQUAL(1, Bench.Sink.Offers.size());
@@ -197,7 +197,7 @@
 }
 
 TEST(WorkerRoomTest, RoomThatGrowsIsUsedAtOnce) {
-  RoomBench Bench;
+  RoomFixture Bench;
   Bench.dispatch("running", 4);
   Bench.dispatch("waits", 3);
   Bench.announce(2, 6);
--- a/tests/agent/worker_session_test.cpp
+++ b/tests/agent/worker_session_test.cpp
@@ -70,11 +70,11 @@
                                 WorkerRefusal::Unhealthy};
   attach();
   std::size_t Stops = 0;
-  for (WorkerRefusal Why : Rows) {
+  for (WorkerRefusal Cause : Rows) {
     ++Run.Run;
     Session.start(Run, "spec", Now);
     Session.onStartReply({"life-1"}, Run, WorkerReply(), Now);
-    Session.onStartReply({"life-1"}, Run, answered(Why), Now);
+    Session.onStartReply({"life-1"}, Run, answered(Cause), Now);
     LONGS_EQUAL(0, Events.Refusals.size());
     LONGS_EQUAL(++Stops, Port.Stops.size());
     Session.onStopReply({"life-1"}, Run, answered(), Now);
@@ -120,9 +120,9 @@
     if (Row.HasRuns) {
       ++Run.Run;
       Session.start(Run, "spec", Now);
-      Session.onStartReply({Port.Life}, Run, answered(), Now);
+      Session.onStartReply({Port.Id}, Run, answered(), Now);
     }
-    std::string Present = Port.Life;
+    std::string Present = Port.Id;
     std::size_t Ends = Events.Ends.size();
     std::size_t Alive = Session.runs();
     int Attached = Events.Attached;
@@ -130,16 +130,16 @@
     Profile.Id = Moves ? Row.Expected : "life-0";
     Session.onProfile(Profile, Now);
     LONGS_EQUAL_TEXT(0, Port.Holds.back().Wait.count(), Row.Name);
-    STRCMP_EQUAL_TEXT(Present.c_str(), Port.Life.c_str(), Row.Name);
+    STRCMP_EQUAL_TEXT(Present.c_str(), Port.Id.c_str(), Row.Name);
     Session.onHoldReply({Present}, Row.FromPresentLife, Now);
-    STRCMP_EQUAL_TEXT(Row.Expected, Port.Life.c_str(), Row.Name);
+    STRCMP_EQUAL_TEXT(Row.Expected, Port.Id.c_str(), Row.Name);
     LONGS_EQUAL_TEXT(Ends + (Moves ? Alive : 0), Events.Ends.size(), Row.Name);
     LONGS_EQUAL_TEXT(Attached + (Moves ? 1 : 0), Events.Attached, Row.Name);
     // The present life replies, and ends what it has.
     WorkerReply Held = answered();
     if (Row.HasRuns && Session.runs() > 0)
       Held.Ended.push_back({1, Run, RunOutcome::Done});
-    Session.onHoldReply({Port.Life}, Held, Now);
+    Session.onHoldReply({Port.Id}, Held, Now);
     CHECK_TEXT(Session.isReady(), Row.Name);
     LONGS_EQUAL_TEXT(0, Session.runs(), Row.Name);
   }
@@ -158,13 +158,13 @@
     }
     // Only the new life is there to reply.
     for (const char *Asked : {"life-1", "life-0"})
-      if (Port.Life == Asked)
+      if (Port.Id == Asked)
         Restarted.onHoldReply({Asked},
                               answered(WorkerRefusal::OtherIncarnation), Now);
-    STRCMP_EQUAL("life-2", Port.Life.c_str());
+    STRCMP_EQUAL("life-2", Port.Id.c_str());
     Restarted.onHoldReply({"life-2"}, answered(), Now);
     CHECK(Restarted.isReady());
-    STRCMP_EQUAL("life-2", Port.Life.c_str());
+    STRCMP_EQUAL("life-2", Port.Id.c_str());
   }
 }
 
@@ -193,19 +193,19 @@
   Session.onHoldReply({"life-1"}, WorkerReply(), Now);
   pass(Options.HoldRetryInterval);
   Session.onHoldReply({"life-1"}, answered(WorkerRefusal::Unhealthy), Now);
-  STRCMP_EQUAL("life-1", Port.Life.c_str());
+  STRCMP_EQUAL("life-1", Port.Id.c_str());
   LONGS_EQUAL(0, Events.Ends.size());
   // It has only been slow to reply.
   pass(Options.HoldRetryInterval);
   Session.onHoldReply({"life-1"}, answered(), Now);
-  STRCMP_EQUAL("life-1", Port.Life.c_str());
+  STRCMP_EQUAL("life-1", Port.Id.c_str());
   // Silent until its lease must have lapsed, it makes way for the other.
   Session.onProfile(Profile, Now);
   for (int I = 0; I < 24; ++I) {
     Session.onHoldReply({"life-1"}, WorkerReply(), Now);
     pass(50ms);
   }
-  STRCMP_EQUAL("life-0", Port.Life.c_str());
+  STRCMP_EQUAL("life-0", Port.Id.c_str());
   LONGS_EQUAL(1, Events.Ends.size());
 }
 
@@ -215,7 +215,7 @@
   Profile.Id = "life-0";
   Session.onProfile(Profile, Now);
   Session.onHoldReply({"life-1"}, answered(), Now);
-  STRCMP_EQUAL("life-1", Port.Life.c_str());
+  STRCMP_EQUAL("life-1", Port.Id.c_str());
   CHECK(Session.isReady());
 }
 
--- a/tests/platform/codec_test.cpp
+++ b/tests/platform/codec_test.cpp
@@ -348,5 +348,5 @@
   CHECK(Reply.Running[0] == Run);
   STRCMP_EQUAL("x.1.1.1", taskName(Reply.Running[1]).c_str());
   LONGS_EQUAL(58, Reply.Ended[0].Number);
-  CHECK(Reply.Ended[0].How == RunOutcome::Done);
+  CHECK(Reply.Ended[0].Outcome == RunOutcome::Done);
 }
--- a/tests/platform/reply_rows_test.cpp
+++ b/tests/platform/reply_rows_test.cpp
@@ -34,8 +34,8 @@
 class RecordingEvents final : public SessionEvents {
 public:
   void onRunRefused(const RunKey &, WorkerRefusal, Instant) override {}
-  void onRunEnded(const RunKey &Run, RunOutcome How, Instant) override {
-    this->Ends[Run.Index] = How;
+  void onRunEnded(const RunKey &Run, RunOutcome Outcome, Instant) override {
+    this->Ends[Run.Index] = Outcome;
   }
   void onWorkerAttached(Instant) override {}
   void onWorkerReady(Instant) override {}
@@ -106,8 +106,8 @@
       confirmStops();
     }
   }
-  bool hasEnded(std::uint32_t Index, RunOutcome How) {
-    return Events.Ends.contains(Index) && Events.Ends[Index] == How;
+  bool hasEnded(std::uint32_t Index, RunOutcome Outcome) {
+    return Events.Ends.contains(Index) && Events.Ends[Index] == Outcome;
   }
 };
 
--- a/tests/platform/worker_client_test.cpp
+++ b/tests/platform/worker_client_test.cpp
@@ -19,9 +19,9 @@
 
 constexpr const char *Accepted =
     "HTTP/1.1 200 OK\r\nContent-Length: 14\r\n\r\n{\"clockMs\":10}";
-constexpr const char *Unhealthy =
+constexpr const char *Unwell =
     "HTTP/1.1 503 Unavailable\r\nContent-Length: 2\r\n\r\n{}";
-constexpr const char *OtherIncarnation =
+constexpr const char *OtherLife =
     "HTTP/1.1 421 Misdirected\r\nContent-Length: 2\r\n\r\n{}";
 
 /// A worker on loopback. It answers its first call, takes the second and ends
@@ -172,8 +172,8 @@
     const char *Later;
   };
   const Row Rows[] = {{"the worker is gone", nullptr},
-                      {"the worker is unwell", Unhealthy},
-                      {"another life is there", OtherIncarnation}};
+                      {"the worker is unwell", Unwell},
+                      {"another life is there", OtherLife}};
   for (const Row &Row : Rows) {
     BreakingWorker Worker(Row.Later);
     CollectingReplies Replies;
