--- a/agent/lease_keeper.h
+++ b/agent/lease_keeper.h
@@ -12,7 +12,7 @@
 #ifndef YARDWHEEL_AGENT_LEASE_KEEPER_H
 #define YARDWHEEL_AGENT_LEASE_KEEPER_H
 
-#include "agent/offer_desk.h"
+#include "agent/offer_queue.h"
 #include "agent/worker_session.h"
 #include "core/clock.h"
 #include "core/logger.h"
--- a/agent/offer_desk.cpp
+++ b/agent/offer_queue.cpp
@@ -1,4 +1,4 @@
-#include "agent/offer_desk.h"
+#include "agent/offer_queue.h"
 
 #include <algorithm>
 
--- a/agent/offer_desk.h
+++ b/agent/offer_queue.h
@@ -1,4 +1,4 @@
-//===- agent/offer_desk.h - Room offered to waiting entries -----*- C++ -*-===//
+//===- agent/offer_queue.h - Room offered to waiting entries ----*- C++ -*-===//
 ///
 /// \file
 /// Remembers which entries wait for room for tasks of theirs, and which room
@@ -7,8 +7,8 @@
 /// Single-threaded, without sockets or clocks.
 ///
 //===----------------------------------------------------------------------===//
-#ifndef YARDWHEEL_AGENT_OFFER_DESK_H
-#define YARDWHEEL_AGENT_OFFER_DESK_H
+#ifndef YARDWHEEL_AGENT_OFFER_QUEUE_H
+#define YARDWHEEL_AGENT_OFFER_QUEUE_H
 
 #include "core/clock.h"
 #include "core/peer_sink.h"
