--- a/agent/lease_keeper.cpp
+++ b/agent/lease_keeper.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-/// Whether only entries send such a message.
+/// Whether only entries send this kind of message.
 bool isFromEntry(const peer::Message &Message) {
   return Message.has_leased_dispatch() || Message.has_leased_stop() ||
          Message.has_leased_interest() || Message.has_offer_reply() ||
@@ -43,7 +43,7 @@
 
 void LeaseKeeper::leaveIfDraining(Instant Now) {
   if (this->Session.profile().Draining && !this->Leaving)
-    this->leave("the worker drains", Now);
+    this->leave("the worker is draining", Now);
 }
 
 void LeaseKeeper::onWorkerAttached(Instant Now) {
@@ -59,7 +59,7 @@
 void LeaseKeeper::onMessage(const PeerRef &From, const peer::Message &Message,
                             Instant Now) {
   this->dropExpired(Now);
-  // Another role may have the same name on a node, and lives of its own.
+  // Another role may have the same name on a node and incarnations of its own.
   if (isFromEntry(Message))
     this->noteIncarnation(From, Now);
   if (Message.has_leased_dispatch()) {
@@ -89,14 +89,15 @@
   }
 }
 
-// ---- Tasks come in ----
+// ---- Incoming tasks ----
 
 void LeaseKeeper::onDispatch(const PeerRef &From,
                              const peer::LeasedDispatch &Dispatch,
                              Instant Now) {
-  // Meant for an earlier life: this one has not started it and will not.
+  // Meant for an earlier incarnation: this one has not started it and will not.
   bool IsCurrent = Dispatch.agent_incarnation() == this->Options.Incarnation;
-  // Enough must be left for renewals, whose answers bring a newer stamp.
+  // Enough of the lease must be left for a renewal, whose reply brings a newer
+  // stamp.
   std::chrono::milliseconds Left{0};
   if (IsCurrent)
     Left = this->leaseFrom(Dispatch.stamp(), Now);
@@ -162,7 +163,8 @@
                  Known->second.Owner.Node == From.Node &&
                  Known->second.Order == Order.order();
     if (Waits)
-      this->dropTask(Id, peer::REFUSAL_BUSY, "it would have to wait", Now);
+      this->dropTask(Id, peer::REFUSAL_BUSY, "the task would have to wait",
+                     Now);
   }
 }
 
@@ -195,7 +197,7 @@
   New.StartBy = Now.Steady + std::chrono::milliseconds(Dispatch.start_by_ms());
   New.GiveUp = Now.Steady + std::chrono::milliseconds(Dispatch.give_up_ms());
   auto Known = this->Tasks.find(Id);
-  // Entries send a dispatch again when they miss its receipt.
+  // Entries resend a dispatch when its receipt is lost.
   bool Held = Known != this->Tasks.end() &&
               Known->second.Owner.Node == From.Node &&
               Known->second.Order == Order.order();
@@ -203,7 +205,7 @@
     return;
   bool Fresh = Left >= this->Options.EntryLease / 2;
   peer::LeasedRefusal Refusal = this->refusalFor(Id, Fresh);
-  // It would keep its turn for good, and others from theirs.
+  // A task larger than the worker would block the head of the queue forever.
   if (Refusal == peer::REFUSAL_NONE &&
       !holdsNeeds(this->Session.profile().Room, New.Needs))
     Refusal = peer::REFUSAL_BUSY;
@@ -304,7 +306,7 @@
   this->Session.stop({Id.Job, Id.Index, TheTask.Run}, Now);
 }
 
-// ---- Tasks start ----
+// ---- Starting tasks ----
 
 bool LeaseKeeper::fits(const peer::TaskNeeds &Needs) const {
   const peer::TaskNeeds &Room = this->Session.profile().Room;
@@ -352,7 +354,8 @@
     Task &TheTask = this->Tasks.at(Id);
     bool Late = TheTask.StartBy < Now.Steady;
     OfferUntil(Late ? TimePoint::max() : TheTask.StartBy);
-    // The first that does not fit keeps its turn.
+    // The first task that does not fit blocks those behind it, so that it is
+    // not starved.
     Full = Full || !this->fits(TheTask.Needs);
     if (Full || !this->outlastsWorkerLease(TheTask))
       Rest.push_back(Id);
--- a/agent/lease_keeper.h
+++ b/agent/lease_keeper.h
@@ -1,12 +1,13 @@
 //===- agent/lease_keeper.h - Leased tasks at an agent ----------*- C++ -*-===//
 ///
 /// \file
-/// Holds the leases of tasks, and the queue and the room of one worker. A task
-/// runs only while its lease lasts, which its entry renews by naming the
-/// placement. It counts from a stamp of this agent's own clock, so that neither
-/// a message held up on its way nor an entry that was frozen extends it.
+/// Manages the task leases, the queue and the capacity ("room") of one worker.
+/// A task runs only while its lease is valid; its entry renews the lease by
+/// naming the placement. A lease is counted from a timestamp of this agent's
+/// own clock that the entry echoes, so neither a delayed message nor a
+/// suspended entry can extend it.
 ///
-/// Single-threaded, without sockets or clocks.
+/// Single-threaded; uses no sockets and no clock of its own.
 ///
 //===----------------------------------------------------------------------===//
 #ifndef YARDWHEEL_AGENT_LEASE_KEEPER_H
@@ -29,36 +30,39 @@
 
 struct KeeperOptions {
   std::uint64_t Incarnation = 0;
-  /// What an entry's silence is given before its runs are stopped. Together
-  /// with a stop it must end before a caller's resubmission may begin
-  /// elsewhere.
+  /// How long an entry may be silent before its runs are stopped. Together with
+  /// the time that a stop takes, this must be over before a caller may resubmit
+  /// the job to another entry.
   std::chrono::milliseconds EntryLease{800};
-  /// After the end of a run's lease, for its stop to take effect. Then the
-  /// worker's lease ends, and with it all runs there.
+  /// Time after the end of a run's lease for its stop to take effect. After
+  /// that the worker's own lease ends, which ends all runs on the worker.
   std::chrono::milliseconds StopAllowance{250};
-  /// What the worker's lease must last at least for a task to be started.
+  /// A task is started only if the worker's lease can last at least this long.
   std::chrono::milliseconds MinWorkerLease{100};
-  /// After the worker found no room where we counted some.
+  /// Delay before the next start after the worker refused a run for lack of
+  /// room although this agent counted enough.
   std::chrono::milliseconds NoRoomRetryInterval{20};
   /// How long the number of a task's last run is remembered.
   std::chrono::milliseconds RunRetention{60000};
-  /// How long the end of a task waits for those of its job's other tasks here.
-  /// They are of like length, and the entry can answer only with the last.
+  /// How long the end of a task is held back to be sent together with the ends
+  /// of its job's other tasks here. These take about as long, and the entry can
+  /// only answer once the last one has ended.
   std::chrono::milliseconds EndBatchDelay{40};
-  /// How long the placement of a task that has ended is remembered: longer
-  /// than an entry may send a dispatch again.
+  /// How long the placement of an ended task is remembered. Must be longer than
+  /// the time for which an entry may resend a dispatch.
   std::chrono::milliseconds PlacementRetention{5000};
-  /// How long offered room is held for its entry's answer: several round trips
-  /// between data centres.
+  /// How long offered room is reserved for the entry's reply: several round
+  /// trips between data centres.
   std::chrono::milliseconds OfferTimeout{20};
   SessionOptions Session;
-  /// How long a crash of the worker is told with each load, so that whoever has
-  /// tasks there hears of it at once.
+  /// How long a worker crash is included in every load report, so that all
+  /// entries that have tasks here learn of it at once.
   std::chrono::milliseconds RecentCrashWindow{1000};
-  /// How long it is told in answers to renewals: several times what
-  /// an entry takes to ask again, and longer than jobs live (17 s).
+  /// How long a worker crash is included in replies to renewals: several times
+  /// the interval at which an entry renews, and longer than the longest job (17
+  /// s).
   std::chrono::milliseconds CrashRetention{20000};
-  /// Off only in tests that show what the rule is for.
+  /// Disabled only by tests that show what goes wrong without the rule.
   bool LeasesCountFromStamp = true;
 };
 
@@ -77,26 +81,30 @@
   LeaseKeeper(KeeperOptions Options, PeerSink &Sink, WorkerPort &Port);
 
   void onProfile(const WorkerProfile &Profile, Instant Now);
-  /// Names this agent and its worker's life together: each life of the worker
-  /// has a number of its own, so that entries do not take it for the last.
+  /// Identifies this agent together with the current incarnation of its worker.
+  /// Each worker incarnation gets its own number, so that entries can tell them
+  /// apart.
   std::uint64_t incarnation() const { return this->Options.Incarnation; }
-  /// Takes an incarnation above one that others know of an earlier life.
+  /// Moves to an incarnation above \p Known if other processes know that number
+  /// from an earlier run of this agent.
   void raiseIncarnationAbove(std::uint64_t Known);
   void onMessage(const PeerRef &From, const peer::Message &Message,
                  Instant Now);
   void tick(Instant Now);
-  /// Tells an entry again what it may not have heard, while its lease lasts.
+  /// Resends the task updates of an envelope that could not be delivered, as
+  /// long as the entry's lease lasts.
   void onUndelivered(const Undelivered &Lost, Instant Now);
-  /// A life of the worker has said that it has left.
+  /// Called when a worker incarnation has announced its shutdown.
   void onWorkerLeft(const WorkerIncarnation &Worker, Instant Now);
-  /// Gives back what waits and takes nothing more; what runs goes on.
+  /// Rejects all queued tasks and accepts no new ones. Running tasks continue.
   void leave(const std::string &Reason, Instant Now);
-  /// The same, for good.
+  /// Does the same as leave(), and stays that way when another worker attaches.
   void shutDown(Instant Now);
 
   bool isLeaving() const { return this->Leaving; }
   bool isIdle() const { return this->Tasks.empty(); }
-  /// This agent's clock, as leases and announcements use it.
+  /// \returns the milliseconds of this agent's steady clock, as leases and
+  /// announcements carry them.
   static std::uint64_t stampAt(Instant Now);
   WorkerSession &session() { return this->Session; }
   const KeeperCounters &counters() const { return this->Counters; }
@@ -128,7 +136,7 @@
     std::uint32_t Attempt = 0;
     std::uint64_t Order = 0;
     std::uint64_t Run = 0;
-    /// The end of its lease.
+    /// End of the task's lease.
     TimePoint Until;
     std::string Spec;
     peer::TaskNeeds Needs;
@@ -136,10 +144,10 @@
     TimePoint GiveUp;
     TimePoint Arrived;
     TimePoint Started;
-    /// Its entry had it stopped because it stood still.
+    /// Set if the entry had the run stopped because it made no progress.
     bool Stalled = false;
   };
-  /// A placement, by its entry and its number there.
+  /// Identifies a placement by the entry's name and the entry's order number.
   struct Placement {
     std::string Entry;
     std::uint64_t Order = 0;
@@ -154,17 +162,18 @@
     TimePoint Started;
   };
 
-  /// Ends what an entry had here if the message comes from another life of it.
+  /// Drops the tasks of an entry's earlier incarnation when a message from a
+  /// new one arrives.
   void noteIncarnation(const PeerRef &From, Instant Now);
-  /// How much is left of a lease that counts from a stamp; 0 for a stamp that
-  /// is too old.
+  /// \returns the remaining time of a lease that counts from \p Stamp, 0 if the
+  /// stamp is too old.
   std::chrono::milliseconds leaseFrom(std::uint64_t Stamp, Instant Now) const;
-  /// Extends the leases of the placements that an entry names.
+  /// Extends the leases of the placements that the entry names.
   void renew(const PeerRef &From, const std::set<std::uint64_t> &Orders,
              std::chrono::milliseconds Left, Instant Now);
   void onDispatch(const PeerRef &From, const peer::LeasedDispatch &Dispatch,
                   Instant Now);
-  /// \param Left Of the task's lease.
+  /// \param Left Remaining time of the task's lease.
   void onOrder(const PeerRef &From, const peer::LeasedDispatch &Dispatch,
                const peer::LeasedTask &Order, std::chrono::milliseconds Left,
                Instant Now);
@@ -172,38 +181,39 @@
   void startInOfferedRoom(const PeerRef &From,
                           const peer::LeasedDispatch &Dispatch, Instant Now);
   void dequeue(const TaskId &Id);
-  /// Gives back what of a dispatch does not start at once.
+  /// Rejects those tasks of a dispatch that could not start at once.
   void refuseWaiting(const PeerRef &From, const peer::LeasedDispatch &Dispatch,
                      Instant Now);
   peer::LeasedRefusal refusalFor(const TaskId &Id, bool Fresh) const;
   void onStop(const PeerRef &From, const peer::LeasedStop &Stop, Instant Now);
   void onInterest(const PeerRef &From, const peer::LeasedInterest &Request,
                   Instant Now);
-  /// Offers an entry the room that there is for its tasks. \returns whether
-  /// there was enough for all.
+  /// Offers an entry the room available for its tasks.
+  /// \returns whether there was enough for all of them.
   bool offerRoom(Interest &Target, Instant Now);
   void stopStalled(const PeerRef &From, const peer::LeasedStop &Stop,
                    Instant Now);
   void leaveIfDraining(Instant Now);
   void rejectQueued(peer::LeasedRefusal Cause, const std::string &Reason,
                     Instant Now);
-  /// Gives back what waits and could not start in an empty worker.
+  /// Rejects queued tasks that would not even fit into an idle worker.
   void rejectOversized(Instant Now);
   void dropTask(const TaskId &Id, peer::LeasedRefusal Cause,
                 const std::string &Reason, Instant Now);
 
-  /// Starts what fits, in order: first those that can still meet their
-  /// objective, the most urgent first; then the others.
+  /// Starts queued tasks that fit. Tasks that can still meet their objective go
+  /// first, the most urgent before the others; late tasks follow.
   void startFitting(Instant Now);
   std::vector<TaskId> sortedQueue(Instant Now) const;
   void startTask(const TaskId &Id, Task &TheTask, Instant Now);
-  /// Whether the worker takes starts, each of which has to bring it a lease.
+  /// Whether runs may be started: the worker is ready, and a start can bring it
+  /// a lease that is long enough.
   bool canStartRuns(Instant Now) const;
-  /// Whether a task's lease lasts until the worker's does, which a run that is
-  /// started now would have.
+  /// Whether the task's lease lasts at least as long as the worker's current
+  /// lease, which would also cover a run started now.
   bool outlastsWorkerLease(const Task &TheTask) const;
   bool fits(const peer::TaskNeeds &Needs) const;
-  /// Whether what is taken is more than there is, as after the room shrank.
+  /// Whether more room is in use than the worker has, as after it shrank.
   bool isOverfull() const;
   void reserveRoom(const peer::TaskNeeds &Needs);
   std::uint64_t nextRun(const TaskId &Id, std::uint32_t Attempt, Instant Now);
@@ -214,20 +224,22 @@
                   peer::LeasedEvent Event, peer::LeasedRefusal Refusal,
                   const std::string &Reason, Instant Now,
                   bool WorkerLost = false);
-  /// Whether the end of a task may wait for others to be told with it.
+  /// Whether the end of a task may be held back to be sent with the ends of
+  /// others.
   bool canBatch(const TaskId &Id, const Task &TheTask) const;
-  /// Tells an entry the ends that waited.
+  /// Sends the updates held back for an entry.
   void flushUpdates(const PeerRef &Entry);
   void flushDueUpdates(Instant Now);
-  /// \param WithAllCrashes Those that are no news any more, too: in answers to
-  /// renewals, which each entry asks for within two seconds. Every end of a run
-  /// carries a load, and the tasks of crashes are many.
+  /// \param WithAllCrashes Whether to include crashes older than
+  /// RecentCrashWindow. Set only in replies to renewals, which each entry
+  /// requests within two seconds: every update about a run carries a load, and
+  /// a crash may list many tasks.
   peer::WorkerLoad loadFor(const std::string &Entry, Instant Now,
                            bool WithAllCrashes = false) const;
   Task *findTask(const RunKey &Run);
-  /// Drops what has outlived its lease or waited for too long. It precedes
-  /// whatever may renew a lease or start a task, as this process may have stood
-  /// still since the last tick.
+  /// Drops tasks whose lease has lapsed or that have waited too long. Must run
+  /// before anything that renews a lease or starts a task, because this process
+  /// may have been suspended since the last tick.
   void dropExpired(Instant Now);
   void dropLapsed(Instant Now);
   void dropLate(Instant Now);
@@ -237,41 +249,43 @@
   Logger Log{"keeper"};
   PeerSink &Sink;
   WorkerSession Session;
-  /// Until when entries count as being there, by what they last sent.
+  /// Until when each entry counts as connected, by its last renewal.
   std::map<std::string, TimePoint> EntryLeaseEnds;
-  /// The lives that entries were last heard of in.
+  /// The last known incarnation of each entry.
   std::map<std::string, std::uint64_t> EntryIncarnations;
   std::map<TaskId, Task> Tasks;
   std::vector<TaskId> Queue;
   std::map<TaskId, LastRun> LastRuns;
-  /// Ends that wait to be told together, by entry.
+  /// Updates about finished tasks that are held back to be sent together, by
+  /// entry.
   struct UpdateBatch {
     PeerRef Entry;
     TimePoint Until;
     std::vector<peer::Message> Updates;
   };
   std::map<std::string, UpdateBatch> PendingUpdates;
-  /// Placements that have ended here, and when.
+  /// Placements that have ended here, with the time of their end.
   std::map<Placement, TimePoint> Ended;
-  /// Crashes of the worker, told to all entries with its load.
+  /// Crashes of the worker; reported to all entries with the load.
   struct Crash {
     peer::WorkerCrash Report;
     TimePoint At;
   };
   std::deque<Crash> Crashes;
   OfferQueue Offers;
-  /// By runs and by offers.
+  /// Room taken by runs and by offers.
   peer::TaskNeeds Used;
   TimePoint NoRoomUntil = TimePoint::min();
   TimePoint NextSweep = TimePoint::min();
   TimePoint NextOrderSweep = TimePoint::min();
   bool Leaving = false;
   bool ShuttingDown = false;
-  /// The worker's last life had said that it would leave.
+  /// Whether the worker's previous incarnation had announced that it would
+  /// leave.
   bool LastIncarnationLeft = false;
-  /// Whether the worker has been attached in an earlier life.
+  /// Whether a worker incarnation was attached before.
   bool HadWorker = false;
-  /// Runs that the worker has failed since it last got one done.
+  /// Consecutive failures of the worker since its last successful run.
   std::uint32_t FailuresInRow = 0;
   KeeperCounters Counters;
 };
--- a/agent/lease_keeper_ends.cpp
+++ b/agent/lease_keeper_ends.cpp
@@ -1,4 +1,4 @@
-//===- The part of LeaseKeeper that ends tasks and tells their entries ----===//
+//===- LeaseKeeper: ends of tasks and the updates sent to entries ---------===//
 
 #include "agent/lease_keeper.h"
 
@@ -10,14 +10,15 @@
 
 namespace {
 
-/// Added to a run's number when the worker has seen a higher one, which an
-/// earlier agent of its gave.
+/// Added to a run's number after the worker has seen a higher one, which an
+/// earlier agent of this worker assigned.
 constexpr std::uint64_t RunStep = 16;
-/// A worker that a task crashes has taken others up to so long after it: calls
-/// to it are under way while it crashes, and take about a millisecond.
+/// A worker that a task crashes may have accepted others for up to this long
+/// after it: calls to the worker are in flight while it crashes, and take about
+/// a millisecond. All runs started this close to the last one are suspects.
 constexpr std::chrono::milliseconds CrashStartWindow{10};
-/// Crashes that are told at once. A worker is back after some seconds, so more
-/// do not fall into the time for which they are told.
+/// Number of crashes that are reported at a time. A worker takes seconds to
+/// come back, so more of them do not fall into CrashRetention.
 constexpr std::size_t MaxReportedCrashes = 8;
 
 } // namespace
@@ -105,7 +106,7 @@
        {"end", runOutcomeName(Outcome)},
        {"waited_ms", millisBetween(TheTask->Arrived, TheTask->Started)},
        {"ran_ms", millisBetween(TheTask->Started, Now.Steady)}});
-  // Its entry takes it for lost with the agent's earlier life.
+  // The entry counts the task as lost with the agent's earlier incarnation.
   if (Outcome == RunOutcome::Unknown) {
     this->Ended[{TheTask->Owner.Node, TheTask->Order}] = Now.Steady;
     this->Tasks.erase(Id);
@@ -126,7 +127,7 @@
 
 void LeaseKeeper::onWorkerCrashed(const std::vector<RunKey> &Runs,
                                   Instant Now) {
-  // It had said that it would leave.
+  // The worker had announced that it would leave.
   if (this->Leaving)
     return;
   auto StartOf = [this](const RunKey &Run) {
@@ -165,11 +166,11 @@
     this->startFitting(Now);
     return;
   }
-  // Offers of room that has gone must not bring the worker over what is left;
-  // a task sent for one is judged by the room of its arrival.
+  // Offers of room that no longer exist must not overcommit the worker. A task
+  // sent for such an offer is checked against the room at its arrival.
   for (const peer::TaskNeeds &Room : this->Offers.releaseAll())
     this->releaseRoom(Room);
-  // What runs goes on. What waits finds room elsewhere sooner.
+  // Running tasks continue. Queued ones will find room sooner elsewhere.
   this->rejectQueued(peer::REFUSAL_BUSY, "the worker's room has shrunk", Now);
   this->startFitting(Now);
 }
@@ -209,15 +210,16 @@
   std::vector<TaskId> Waiting = this->Queue;
   for (const TaskId &Id : Waiting)
     if (!holdsNeeds(Room, this->Tasks.at(Id).Needs))
-      this->dropTask(Id, peer::REFUSAL_BUSY, "it is larger than the room", Now);
+      this->dropTask(Id, peer::REFUSAL_BUSY,
+                     "the task exceeds the worker's room", Now);
 }
 
 void LeaseKeeper::shutDown(Instant Now) {
   this->ShuttingDown = true;
-  this->leave("the agent shuts down", Now);
+  this->leave("the agent is shutting down", Now);
 }
 
-// ---- What entries are told ----
+// ---- Updates sent to entries ----
 
 void LeaseKeeper::sendUpdate(const TaskId &Id, const Task &TheTask,
                              peer::LeasedEvent Event,
@@ -280,7 +282,7 @@
 }
 
 void LeaseKeeper::onUndelivered(const Undelivered &Lost, Instant Now) {
-  // An entry that is gone renews nothing, and then nobody waits.
+  // An entry that is gone renews no leases, and nobody waits for its results.
   if (!this->EntryLeaseEnds.contains(Lost.To.Node))
     return;
   int Updates = 0;
--- a/agent/lease_keeper_leases.cpp
+++ b/agent/lease_keeper_leases.cpp
@@ -1,4 +1,4 @@
-//===- The part of LeaseKeeper that keeps leases by the time --------------===//
+//===- LeaseKeeper: leases, deadlines and retention -----------------------===//
 
 #include "agent/lease_keeper.h"
 
@@ -21,10 +21,11 @@
   this->Log.decision("entry_restarted", {{"entry", From.Node},
                                          {"incarnation", From.Incarnation},
                                          {"tasks", Orphaned.size()}});
-  // The present life does not know of them, while their callers have them run
-  // elsewhere.
+  // The new incarnation of the entry does not know these tasks, and their
+  // callers have them run elsewhere.
   for (const TaskId &Id : Orphaned)
-    this->dropTask(Id, peer::REFUSAL_STALE, "its entry has restarted", Now);
+    this->dropTask(Id, peer::REFUSAL_STALE, "the task's entry has restarted",
+                   Now);
 }
 
 std::chrono::milliseconds LeaseKeeper::leaseFrom(std::uint64_t Stamp,
@@ -52,7 +53,7 @@
 }
 
 TimePoint LeaseKeeper::maxWorkerLeaseEnd(Instant Now) const {
-  // What waits counts as well: it may start next.
+  // Queued tasks limit the worker's lease as well, as they may start next.
   TimePoint First = TimePoint::max();
   for (const auto &[Id, Known] : this->Tasks) {
     bool HasStopped =
@@ -94,7 +95,8 @@
                         {"entry_heard", this->EntryLeaseEnds.contains(Entry)},
                         {"tasks", Concerned.size()}});
     for (const TaskId &Id : Concerned)
-      this->dropTask(Id, peer::REFUSAL_STALE, "its entry's lease lapsed", Now);
+      this->dropTask(Id, peer::REFUSAL_STALE, "the task's lease has lapsed",
+                     Now);
   }
 }
 
@@ -104,8 +106,8 @@
     if (Now.Steady >= this->Tasks.at(Id).GiveUp)
       Late.push_back(Id);
   for (const TaskId &Id : Late)
-    this->dropTask(Id, peer::REFUSAL_TOO_LATE, "it could not start in time",
-                   Now);
+    this->dropTask(Id, peer::REFUSAL_TOO_LATE,
+                   "the task could not start in time", Now);
 }
 
 void LeaseKeeper::sweep(Instant Now) {
