--- a/agent/offer_queue.h
+++ b/agent/offer_queue.h
@@ -1,10 +1,11 @@
-//===- agent/offer_queue.h - Room offered to waiting entries ----*- C++ -*-===//
+//===- agent/offer_queue.h - Offers of room to entries ----------*- C++ -*-===//
 ///
 /// \file
-/// Remembers which entries wait for room for tasks of theirs, and which room
-/// has been offered to them and is held until they take it up or decline.
+/// Keeps track of the entries that wait for room for their tasks, and of the
+/// room that has been offered to them and stays reserved until they accept or
+/// decline.
 ///
-/// Single-threaded, without sockets or clocks.
+/// Single-threaded; uses no sockets and no clock of its own.
 ///
 //===----------------------------------------------------------------------===//
 #ifndef YARDWHEEL_AGENT_OFFER_QUEUE_H
@@ -32,28 +33,35 @@
 
 class OfferQueue {
 public:
-  /// \param Timeout How long offered room is held for an answer.
+  /// \param Timeout How long offered room stays reserved without a reply.
   explicit OfferQueue(std::chrono::milliseconds Timeout) : Timeout(Timeout) {}
 
   void add(Interest New);
-  /// No more tasks of the job wait at this entry.
+  /// Removes the interest of a job: none of its tasks wait at this entry any
+  /// more.
   void drop(const std::string &Entry, const std::string &Job);
-  /// Those that wait, the most urgent first.
+  /// \returns the waiting interests, the most urgent first.
   std::vector<Interest> &interests() { return this->Interests; }
-  /// Drops interests whose time is over or whose tasks have all been offered.
+  /// Drops interests that are too late to start or whose tasks have all been
+  /// offered room.
   void dropStale(TimePoint Now);
 
-  /// Holds room for some tasks. \returns the number of the offer.
+  /// Reserves room for some of the tasks.
+  /// \returns the number of the offer.
   std::uint64_t hold(Interest &Target, std::uint32_t Tasks, TimePoint Now);
-  /// The offer has been answered by this entry, and this many tasks are sent
-  /// for it; with fewer than were offered, no more of the job wait. \returns
-  /// the room that it held, if it did; numbers of offers begin anew with each
-  /// agent's life, so one made to another entry is not meant.
+  /// Handles an entry's reply to an offer.
+  /// \param Tasks Number of tasks sent for the offer. If it is smaller than the
+  /// number offered, no more tasks of the job are waiting.
+  /// \returns the room that was reserved, or none if the offer is unknown or
+  /// was made to another entry: offer numbers start over with each incarnation
+  /// of the agent.
   peer::TaskNeeds release(const std::string &Entry, std::uint64_t Offer,
                           std::uint32_t Tasks);
-  /// \returns the room of offers that have stayed without an answer.
+  /// Removes the offers that have timed out.
+  /// \returns the room that each had reserved.
   std::vector<peer::TaskNeeds> releaseExpired(TimePoint Now);
-  /// Withdraws all offers. \returns the room that they held.
+  /// Withdraws all offers.
+  /// \returns the room that each had reserved.
   std::vector<peer::TaskNeeds> releaseAll();
   void clearInterests() { this->Interests.clear(); }
 
@@ -71,7 +79,7 @@
   std::uint64_t LastOffer = 0;
 };
 
-/// What several tasks of the same needs take together.
+/// \returns the needs of several equal tasks together.
 peer::TaskNeeds multiplyNeeds(const peer::TaskNeeds &Needs,
                               std::uint32_t Tasks);
 
--- a/agent/refusals.h
+++ b/agent/refusals.h
@@ -1,8 +1,8 @@
 //===- agent/refusals.h - Reasons an agent gives ----------------*- C++ -*-===//
 ///
 /// \file
-/// The reasons with which an agent proves that a task has not started; an
-/// entry acts on some of them.
+/// Reasons that an agent gives as proof that a task has not started. An entry
+/// compares some of them with these texts.
 ///
 //===----------------------------------------------------------------------===//
 #ifndef YARDWHEEL_AGENT_REFUSALS_H
--- a/agent/worker_port.h
+++ b/agent/worker_port.h
@@ -2,8 +2,9 @@
 ///
 /// \file
 /// The interface between an agent and a worker that runs tasks under leases.
-/// Calls go out without waiting and their replies are reported to the session
-/// later; a call without a reply may have been carried out, or may still be.
+/// Calls are asynchronous: they return at once and their replies are passed to
+/// the session later. A call without a reply may have been carried out, or may
+/// still be.
 ///
 //===----------------------------------------------------------------------===//
 #ifndef YARDWHEEL_AGENT_WORKER_PORT_H
@@ -21,10 +22,11 @@
 
 namespace yardwheel {
 
-/// A point on a worker's own clock, in milliseconds.
+/// A point in time on the worker's own clock, in milliseconds.
 using WorkerTime = std::chrono::milliseconds;
 
-/// One run of a task. A later run of the same task has a higher number.
+/// Identifies one run of a task. A later run of the same task has a higher
+/// number.
 struct RunKey {
   std::string Job;
   std::uint32_t Index = 0;
@@ -36,25 +38,27 @@
   }
 };
 
-/// One life of a worker. A worker may start again under the id that it had;
-/// then its numbers of ends, its clock and its announcements begin anew.
+/// Identifies one incarnation of a worker. A worker may restart under its old
+/// id; its numbering of ended runs, its clock and the sequence of its
+/// announcements then start over.
 struct WorkerIncarnation {
   std::string Id;
-  /// The Unix millisecond of its start; nothing where the worker does not say.
+  /// Start time of the worker in milliseconds since the Unix epoch; empty if
+  /// the worker does not report it.
   std::optional<std::uint64_t> StartUnixMs;
 };
 
-/// Whether both names mean one life: without a time of birth on both sides the
-/// id alone is the life.
+/// Whether both values name the same incarnation. If either has no start time,
+/// the ids alone decide.
 inline bool isSameIncarnation(const WorkerIncarnation &A,
                               const WorkerIncarnation &B) {
   return A.Id == B.Id &&
          (!A.StartUnixMs || !B.StartUnixMs || *A.StartUnixMs == *B.StartUnixMs);
 }
 
-/// What a worker says of itself.
+/// What a worker announces about itself.
 struct WorkerProfile {
-  /// Its life; see WorkerIncarnation.
+  /// Together with StartUnixMs the worker's incarnation; see WorkerIncarnation.
   std::string Id;
   std::optional<std::uint64_t> StartUnixMs;
   std::string Address;
@@ -62,7 +66,7 @@
   peer::TaskNeeds Room;
   std::set<std::string> Labels;
   bool Draining = false;
-  /// Increases with each announcement of the same life.
+  /// Increases with each announcement of the same incarnation.
   std::uint64_t Sequence = 0;
   WorkerTime Clock{};
 
@@ -74,7 +78,8 @@
 struct StartCall {
   RunKey Run;
   std::string Spec;
-  /// All runs of the worker end when its clock passes this unextended.
+  /// End of the worker's lease. All runs on the worker end when its clock
+  /// passes this time without an extension.
   WorkerTime LeaseUntil{};
   std::uint64_t FencingToken = 0;
 };
@@ -86,29 +91,30 @@
 
 struct HoldCall {
   std::uint64_t FencingToken = 0;
-  /// Ends up to this number need not be told again.
+  /// The worker need not report ends up to this number again.
   std::uint64_t AcknowledgedEnd = 0;
-  /// Nothing extends no lease.
+  /// Empty if the call extends no lease.
   std::optional<WorkerTime> LeaseUntil;
-  /// How long the worker may wait for an end before it replies.
+  /// How long the worker may wait for a run to end before it replies.
   std::chrono::milliseconds Wait{};
 };
 
 enum class WorkerRefusal {
   None,
-  /// A higher fencing token has been seen.
+  /// The worker has seen a higher fencing token.
   Fenced,
-  /// This run or a later one has been stopped or has ended there.
+  /// This run or a later one of the same task was stopped or has ended on the
+  /// worker.
   StaleRun,
-  /// The lease in the call has run out.
+  /// The lease in the call has expired.
   LeaseExpired,
-  /// Its room does not hold the task.
+  /// The worker has no room for the task.
   NoRoom,
-  /// The worker is unwell and has done nothing.
+  /// The worker is unhealthy and has not acted on the call.
   Unhealthy,
-  /// Another life of the worker is at this address.
+  /// Another incarnation of the worker is at this address.
   OtherIncarnation,
-  /// The call could not be read.
+  /// The worker could not parse the call.
   Malformed,
 };
 
@@ -117,45 +123,47 @@
   Failed,
   Stopped,
   Lapsed,
-  /// The worker left its starts without a reply, and it was stopped.
+  /// The worker did not reply to the starts, and the run was stopped.
   Unanswered,
-  /// Another life of the worker may have begun it, and nobody can tell what
-  /// became of it.
+  /// Another incarnation of the worker may have started the run, and its
+  /// outcome cannot be determined.
   Unknown,
   Other,
 };
 
 struct EndedRun {
-  /// Counts a worker life's ends from 1.
+  /// Position among the ended runs of a worker incarnation, counted from 1.
   std::uint64_t Number = 0;
   RunKey Run;
   RunOutcome Outcome = RunOutcome::Other;
 };
 
 struct WorkerReply {
-  /// False where no reply came, or one that proves nothing: the call may have
-  /// been carried out.
+  /// False if there was no reply, or one that proves nothing; the call may
+  /// still have been carried out.
   bool Answered = false;
   WorkerRefusal Refusal = WorkerRefusal::None;
-  /// Which of the lives that share the id of the call has answered.
+  /// Start time of the incarnation that replied; incarnations may share the id
+  /// named in the call.
   std::optional<std::uint64_t> StartUnixMs;
   std::optional<WorkerTime> Clock;
   std::vector<RunKey> Running;
   std::vector<EndedRun> Ended;
-  /// Rows of both lists, and of the first alone, that could not be read.
+  /// Number of rows that could not be parsed: in both lists together, and in
+  /// the list of running tasks alone.
   std::size_t UnreadableRows = 0;
   std::size_t UnreadableRunning = 0;
-  /// Ends up to this number have all been read.
+  /// All ends up to this number were parsed.
   std::uint64_t ReadUpTo = UINT64_MAX;
-  /// What went wrong, for logs.
+  /// Description of the error, for logs.
   std::string Problem;
 };
 
-/// Sends calls to the worker's present life.
+/// Sends calls to the worker's current incarnation.
 class WorkerPort {
 public:
   virtual ~WorkerPort() = default;
-  /// All later calls go to this life of the worker.
+  /// Directs all later calls to this incarnation of the worker.
   virtual void attach(const WorkerProfile &Profile) = 0;
   virtual void start(const StartCall &Call) = 0;
   virtual void stop(const StopCall &Call) = 0;
--- a/agent/worker_session.cpp
+++ b/agent/worker_session.cpp
@@ -6,8 +6,9 @@
 
 namespace {
 
-/// Added to a fencing token that proved too low; doubles with each refusal.
-/// More than the processes' clocks of day are ever apart, in milliseconds.
+/// Added to a fencing token that proved too low, in milliseconds; doubles with
+/// each refusal. Larger than the difference between the processes' wall clocks
+/// ever is.
 constexpr std::uint64_t TokenStep = 10000;
 
 } // namespace
@@ -58,7 +59,7 @@
                              SessionEvents &Events)
     : Options(Options), Port(Port), Events(Events) {}
 
-// ---- The worker's clock, lease and token ----
+// ---- Worker clock, lease and fencing token ----
 
 void WorkerSession::recordClock(const WorkerReply &Reply, Instant Now) {
   if (!Reply.Clock)
@@ -66,7 +67,7 @@
   this->ClockReading = *Reply.Clock;
   this->ClockReadingTime = Now.Steady;
   this->LastAnswer = Now.Steady;
-  // The word of another life says nothing of this one.
+  // A reply from another incarnation proves nothing about this one.
   if (Reply.Refusal != WorkerRefusal::OtherIncarnation)
     this->SilentSince.reset();
 }
@@ -84,7 +85,7 @@
 
 WorkerTime WorkerSession::extendLease(Instant Now) {
   TimePoint Ends = this->nextLeaseEnd(Now);
-  // A worker shortens no lease.
+  // A worker never shortens a lease.
   this->LeaseEnds = std::max(this->LeaseEnds, Ends);
   auto Since = std::chrono::duration_cast<std::chrono::milliseconds>(
       Now.Steady - this->ClockReadingTime);
@@ -159,7 +160,7 @@
     this->raiseToken(Now);
   if (Known.StartsLost == 0)
     this->refuse(Key, Reply.Refusal, Now);
-  // An earlier start may have begun it, or may still do so.
+  // An earlier start may have started the run, or may still do so.
   else if (Known.State == Phase::Starting)
     this->sendStop(Key, Known, Now);
 }
@@ -201,12 +202,12 @@
   auto Found = this->Runs.find(Key);
   if (Found == this->Runs.end())
     return;
-  // A run that did begin is listed as ended before its room is free.
+  // The worker lists a run that did start as ended before its room is free.
   Run &Known = Found->second;
   Known.NextStop = Now.Steady + this->Options.ConfirmedStopRetryInterval;
   Known.StopConfirmedAt = std::min(Known.StopConfirmedAt, Now.Steady);
-  // One that never began is not listed as ended, nor legibly one whose end
-  // could not be read.
+  // It does not list a run that never started, and an end that could not be
+  // parsed may never be listed in a readable form.
   bool NotTold = Known.StartsLost > 0 || Known.EndUnreadable;
   if (NotTold && Known.StoppedAt == TimePoint::max())
     Known.StoppedAt = Now.Steady + this->Options.MaxStopDuration;
@@ -230,7 +231,7 @@
   this->Events.onRunEnded(Key, Outcome, Now);
 }
 
-// ---- The lease and the ends ----
+// ---- Hold calls: lease renewal and ended runs ----
 
 std::chrono::milliseconds WorkerSession::holdWait(Instant Now) const {
   if (!this->Ready)
@@ -250,8 +251,8 @@
   Call.FencingToken = this->Token;
   Call.AcknowledgedEnd = this->Acknowledged;
   Call.Wait = Wait;
-  // A worker that may not hear us is given no lease, so that its last one can
-  // be told to have lapsed.
+  // A worker that may not receive our calls is given no lease, so that the
+  // expiry of its last one can be determined.
   bool Extends = this->Ready && !this->LastHoldFailed && !this->Runs.empty() &&
                  this->nextLeaseEnd(Now) > Now.Steady;
   if (Extends)
@@ -260,7 +261,7 @@
 }
 
 void WorkerSession::renewIfDue(Instant Now) {
-  // Where the lease may not last as long as it could, calls gain little.
+  // If the lease can hardly be extended, a call is not worth its cost.
   bool Gains =
       this->nextLeaseEnd(Now) - this->LeaseEnds >= this->Options.Lease / 8;
   bool Due = !this->Runs.empty() && this->Ready && !this->LastHoldFailed &&
@@ -297,7 +298,8 @@
   this->resolveUnreadableEnds(Reply, Now);
   if (!this->Ready)
     this->stopOrphanedRuns(Reply, Now);
-  // The worker tells an end that is not acknowledged at once, in each reply.
+  // The worker reports an unacknowledged end again in each reply, without
+  // waiting.
   if (this->UnreadableEndsSince)
     this->NextHold = Now.Steady + this->Options.HoldRetryInterval;
   else if (this->PendingHolds == 0)
@@ -314,8 +316,9 @@
 
 void WorkerSession::processEnds(const WorkerReply &Reply, Instant Now) {
   for (const EndedRun &Ended : Reply.Ended) {
-    // A worker forgets all ends up to an acknowledged one. One that could not
-    // be read would be lost, and its run would hold its room for good.
+    // A worker forgets all ends up to the acknowledged one. If an unreadable
+    // end were among them, it would be lost, and its run would occupy its room
+    // forever.
     std::uint64_t Read = std::min(Ended.Number, Reply.ReadUpTo);
     this->Acknowledged = std::max(this->Acknowledged, Read);
     this->OrphanedRuns.erase(Ended.Run);
@@ -335,18 +338,19 @@
   if (!this->UnreadableEndsSince) {
     this->UnreadableEndsSince = Now.Steady;
     this->LastReadableEnd = 0;
-    // Not by the bad ones: with a number far too high, later ends would be
-    // lost.
+    // Numbers of unreadable ends are not used: one that is far too high would
+    // cause later ends to be lost.
     for (const EndedRun &Ended : Reply.Ended)
       this->LastReadableEnd = std::max(this->LastReadableEnd, Ended.Number);
   }
-  // Which run is meant cannot be told without all of the other list.
+  // The runs concerned can only be determined if the list of running tasks is
+  // complete.
   bool Old = Now.Steady - *this->UnreadableEndsSince >=
              this->Options.UnreadableEndsTimeout;
   if (!Old || Reply.UnreadableRunning > 0 || this->stopUnlisted(Reply, Now))
     return;
-  // Kept for longer, such ends would fill the list that a worker gives, and
-  // hide later ones.
+  // If they stayed unacknowledged, these ends would fill the list in the
+  // worker's replies and hide later ones.
   this->Acknowledged = std::max(this->Acknowledged, this->LastReadableEnd);
   this->UnreadableEndsSince.reset();
 }
@@ -358,7 +362,8 @@
     if (Listed || Known.StartTime > *this->UnreadableEndsSince)
       continue;
     Any = true;
-    // The reply may be older than the run's start, so its word is not proof.
+    // The reply may be older than the start of the run, so it is no proof of
+    // the end.
     if (!Known.EndUnreadable && Known.State != Phase::Stopping)
       this->sendStop(Key, Known, Now);
     Known.EndUnreadable = true;
@@ -418,8 +423,9 @@
     return false;
   if (!this->UnreadableRunningSince)
     this->UnreadableRunningSince = Now.Steady;
-  // They cannot be stopped by name, and would go on under the leases that a
-  // ready worker is given. Without any, they lapse.
+  // Such runs cannot be stopped by name and would live on with the leases that
+  // a ready worker is given. Without further leases they end when the last one
+  // expires.
   return Now.Steady - *this->UnreadableRunningSince <
          this->Options.Lease + this->Options.LeaseExpiryMargin;
 }
--- a/agent/worker_session.h
+++ b/agent/worker_session.h
@@ -1,14 +1,14 @@
 //===- agent/worker_session.h - Runs under a worker's lease -----*- C++ -*-===//
 ///
 /// \file
-/// Drives one worker: starts and stops runs, renews the lease that keeps them
-/// alive, and learns of their ends. A start without a reply is sent again under
-/// the same run number, which the worker carries out at most once. If that
-/// fails as well the run is stopped, and counts as ended only once the worker
-/// has confirmed the stop: from then on it refuses that run, however late the
-/// start arrives.
+/// Controls one worker: starts and stops runs, renews the lease that keeps them
+/// alive, and collects their ends. A start without a reply is sent again under
+/// the same run number, which the worker executes at most once. If the retries
+/// fail as well, the run is stopped, and it counts as ended only once the
+/// worker has confirmed the stop. From then on the worker refuses that run,
+/// however late a start arrives.
 ///
-/// Single-threaded, without sockets or clocks.
+/// Single-threaded; uses no sockets and no clock of its own.
 ///
 //===----------------------------------------------------------------------===//
 #ifndef YARDWHEEL_AGENT_WORKER_SESSION_H
@@ -27,77 +27,84 @@
 namespace yardwheel {
 
 struct SessionOptions {
-  /// How far each call extends the worker's lease. At most what a worker
-  /// grants; what runs on ends this long after its agent has.
+  /// How far each call extends the worker's lease; at most what a worker
+  /// grants. If the agent dies, its runs end after this time.
   std::chrono::milliseconds Lease{900};
-  /// How long a call for ends may wait while tasks run: each renews the
-  /// lease, so a fraction of it.
+  /// How long a hold call, the long poll for ended runs, may wait while runs
+  /// are active. Each such call renews the lease, so this is a fraction of it.
   std::chrono::milliseconds HoldWait{120};
-  /// The same while nothing runs.
+  /// The same while no run is active.
   std::chrono::milliseconds IdleHoldWait{2000};
   /// The same until the runs of an earlier agent have ended, which takes a
   /// worker some tens of milliseconds.
   std::chrono::milliseconds FirstHoldWait{20};
-  /// How often a start is sent before its run is stopped. Where half of the
-  /// calls are lost, three leave one in eight without a reply.
+  /// How often a start is sent before its run is stopped. If half of the calls
+  /// are lost, one start in eight stays without a reply after three attempts.
   std::uint32_t MaxStartAttempts = 3;
-  /// How long a call for ends may wait after a call stayed without a reply: a
-  /// lost reply then hides an end for a shorter time.
+  /// How long a hold call may wait after a call stayed without a reply, so that
+  /// the loss of another reply delays the report of an end for a shorter time.
   std::chrono::milliseconds HoldWaitAfterLoss{40};
-  /// For how long after a lost call that holds; calls are lost for seconds.
+  /// How long HoldWaitAfterLoss applies after a lost call; losses come in
+  /// periods of seconds.
   std::chrono::milliseconds LossWindow{2000};
-  /// Before a stop without a reply is sent again.
+  /// Delay before a stop without a reply is sent again.
   std::chrono::milliseconds StopRetryInterval{50};
-  /// A confirmed stop has ended its run within this.
+  /// Time within which a confirmed stop has ended its run.
   std::chrono::milliseconds MaxStopDuration{100};
-  /// Added to a lease before it is taken to have lapsed at a worker whose
-  /// clock may be 2 % slow, that ends its runs a little later, and that may
-  /// have been asked for more than the longest lease it grants, 100 ms above
-  /// ours.
+  /// Added to a lease before it is taken to have expired on the worker. The
+  /// worker's clock may be 2 % slow, it ends its runs a little later, and it
+  /// may have been asked for more than the longest lease it grants, 100 ms
+  /// above ours.
   std::chrono::milliseconds LeaseExpiryMargin{150};
-  /// How long a reading of the worker's clock is carried on by ours: longer
-  /// than a call for ends takes. Of the time in between the worker's host may
-  /// have been suspended, or ours, and a lease by a clock that ran ahead would
-  /// be the longest that the worker grants instead of the one asked for.
+  /// How long a reading of the worker's clock may be extrapolated with ours;
+  /// longer than a hold call takes. After that the worker's host or ours may
+  /// have been suspended in between. Computed from a clock that is ahead of the
+  /// worker's, a lease would be the longest that the worker grants instead of
+  /// the one intended.
   std::chrono::milliseconds MaxClockReadingAge{4000};
-  /// Before a confirmed stop, whose end has not been told, is sent again.
+  /// Delay before a confirmed stop whose end has not been reported is sent
+  /// again.
   std::chrono::milliseconds ConfirmedStopRetryInterval{1000};
-  /// A worker that has answered nothing for this long gets no tasks. Several
-  /// calls: single ones may stay without a reply at a worker that is sound.
+  /// A worker that has not replied for this long gets no tasks. Spans several
+  /// calls, because a healthy worker may leave single ones without a reply.
   std::chrono::milliseconds SilenceTimeout{600};
-  /// Before a failed call for ends is made again, or one whose reply had an end
-  /// that could not be read.
+  /// Delay before the next hold call after one failed or its reply had an end
+  /// that could not be parsed.
   std::chrono::milliseconds HoldRetryInterval{20};
-  /// How long ends that cannot be read are waited for: longer than the longest
-  /// call for ends takes, so that a later reply has told them again.
+  /// How long to wait for a readable copy of ends that could not be parsed:
+  /// longer than the longest hold call, so that a later reply has reported them
+  /// again.
   std::chrono::milliseconds UnreadableEndsTimeout{3000};
-  /// Rows that cannot be read are logged at most this often.
+  /// Minimum time between two log messages about rows that could not be parsed.
   std::chrono::milliseconds UnreadableRowsLogInterval{1000};
 };
 
-/// Hears what becomes of runs. Each run that was started ends in one call.
+/// Receives the results of runs. For each started run, exactly one of
+/// onRunRefused() and onRunEnded() is called.
 class SessionEvents {
 public:
   virtual ~SessionEvents() = default;
-  /// Proof that the run has not begun and will not.
+  /// Called with proof that the run has not started and will not.
   virtual void onRunRefused(const RunKey &Run, WorkerRefusal Cause,
                             Instant Now) = 0;
   virtual void onRunEnded(const RunKey &Run, RunOutcome Outcome,
                           Instant Now) = 0;
-  /// The agent now speaks to another life of the worker; what ran in the last
-  /// one is told as ended next.
+  /// Called when the agent switches to another incarnation of the worker; the
+  /// ends of the previous incarnation's runs are reported next.
   virtual void onWorkerAttached(Instant Now) = 0;
-  /// A life of the worker has ended without notice, with runs that may be the
-  /// cause. Told before the next life is attached.
+  /// Called when an incarnation of the worker has ended without notice while it
+  /// had runs, which may be the cause. Comes before the next incarnation is
+  /// attached.
   virtual void onWorkerCrashed(const std::vector<RunKey> &Runs, Instant Now) {}
-  /// The worker's room has shrunk or grown.
+  /// Called when the worker's room has shrunk or grown.
   virtual void onRoomChanged(Instant Now) {}
-  /// The worker's present life may be given runs.
+  /// Called when runs may be started on the worker's current incarnation.
   virtual void onWorkerReady(Instant Now) = 0;
-  /// The worker has left a call for ends without a reply.
+  /// Called when the worker has not replied for SessionOptions::SilenceTimeout.
   virtual void onWorkerSilent(Instant Now) = 0;
-  /// Until when all runs may go on. The worker's lease is never extended beyond
-  /// it, so that they end then whatever becomes of the agent and of its stops.
+  /// \returns until when all runs may continue. The worker's lease is never
+  /// extended beyond this time, so that the runs end then even if the agent
+  /// dies or its stops are lost.
   virtual TimePoint maxWorkerLeaseEnd(Instant Now) const {
     return TimePoint::max();
   }
@@ -108,15 +115,16 @@
   WorkerSession(SessionOptions Options, WorkerPort &Port,
                 SessionEvents &Events);
 
-  /// Takes what the worker has announced of itself. Of the present life its
-  /// room may change and it may drain, which is final. A new life ends all runs
-  /// of the last one, which is asked first whether it is there: an announcement
-  /// may have been held up on its way since before the worker restarted. While
-  /// the last one may be there and has runs, it stays the present one.
+  /// Handles an announcement of the worker. Within the current incarnation, the
+  /// room may change and the worker may start to drain, which is final. A new
+  /// incarnation ends all runs of the previous one. The previous one is probed
+  /// first, because an announcement sent before the worker restarted may arrive
+  /// late. While the previous one may be alive and has runs, it stays the
+  /// current one.
   void onProfile(const WorkerProfile &New, Instant Now);
   bool hasWorker() const { return this->Profile.has_value(); }
-  /// Whether the worker replies, has said what it is, and has no runs left of
-  /// an earlier agent or for its last life.
+  /// Whether the worker replies, has announced itself, and has no runs left of
+  /// an earlier agent or of its previous incarnation.
   bool isReady() const {
     return this->Ready && this->Answering && this->Announced;
   }
@@ -134,84 +142,94 @@
   void tick(Instant Now);
 
   std::size_t runs() const { return this->Runs.size(); }
-  /// When the newest lease ends that the worker may have been given. A run that
-  /// is started lasts as long, whatever lease its start brings.
+  /// \returns when the newest lease ends that the worker may hold. A run that
+  /// is started lasts as long, whatever lease its start carries.
   TimePoint leaseEnds() const { return this->LeaseEnds; }
-  /// Whether a confirmed stop of the run has taken effect, so that only its end
-  /// has not been told yet.
+  /// Whether a confirmed stop of the run has taken effect, so that only the
+  /// report of its end is missing.
   bool hasStopped(const RunKey &Run, Instant Now) const;
-  /// Whether the worker's last reply came in time; else it may be gone.
+  /// Whether the last hold call succeeded; otherwise the worker may be gone.
   bool isResponsive() const { return this->Ready && !this->LastHoldFailed; }
 
 private:
   enum class Phase { Starting, Running, Stopping };
   struct Run {
     Phase State = Phase::Starting;
-    /// Sent again with a start that stayed without a reply.
+    /// Kept so that a start without a reply can be sent again.
     std::string Spec;
-    /// Starts that stayed without a reply. If there are any, no refusal proves
-    /// that the run has not begun.
+    /// Number of starts without a reply. If it is not 0, a refusal does not
+    /// prove that the run has not started.
     std::uint32_t StartsLost = 0;
     TimePoint NextStop = TimePoint::min();
     /// When a stop was first confirmed.
     TimePoint StopConfirmedAt = TimePoint::max();
     TimePoint StartTime;
-    /// It was not listed beside ends that could not be read, and is stopped: a
-    /// confirmed stop proves that it has ended.
+    /// Set when the run was missing from the worker's list while some ends
+    /// could not be parsed. The run is then stopped; a confirmed stop proves
+    /// that it has ended.
     bool EndUnreadable = false;
-    /// The worker's life that it was begun for has listed it as running.
+    /// Whether the worker incarnation for which the run was started has listed
+    /// it as running.
     bool Listed = false;
-    /// When a confirmed stop of such a run has taken effect.
+    /// When a confirmed stop has taken effect, for a run whose end the worker
+    /// will not report.
     TimePoint StoppedAt = TimePoint::max();
   };
 
   void attach(const WorkerProfile &New, Instant Now);
-  /// Turns to another life of the same id, which has answered in place of the
-  /// present one.
+  /// Switches to another incarnation with the same id, which has replied in
+  /// place of the current one.
   void replaceIncarnation(const WorkerReply &Reply, Instant Now);
-  /// Whether another life of the same id has answered.
+  /// Whether the reply comes from another incarnation with the same id.
   bool isFromOtherIncarnation(const WorkerReply &Reply) const;
-  /// Takes what a life that was known by its answers only says of itself.
+  /// Takes over the announcement of an incarnation that was only known from its
+  /// replies.
   void completeProfile(const WorkerProfile &New, Instant Now);
-  /// Ends what had been begun for the last life of this id, once the present
-  /// one has none of it.
+  /// Reports the ends of runs started for the previous incarnation with this
+  /// id, once the current one has none of them.
   void settleInheritedRuns(Instant Now);
   void addCandidate(const WorkerProfile &New);
-  /// Takes a later word of the present life.
+  /// Handles a later announcement of the current incarnation.
   void updateProfile(const WorkerProfile &New, Instant Now);
-  /// Decides on lives that were announced beside one that may be alive.
+  /// Decides about incarnations that were announced while another one might
+  /// still be alive.
   void resolveCandidates(const WorkerReply &Reply, Instant Now);
   void sendStart(const RunKey &Key, const Run &Known, Instant Now);
   void onStartLost(const RunKey &Key, Run &Known, const WorkerReply &Reply,
                    Instant Now);
   void recordClock(const WorkerReply &Reply, Instant Now);
-  /// Until when a call that is made now may extend the worker's lease.
+  /// \returns until when a call made now may extend the worker's lease.
   TimePoint nextLeaseEnd(Instant Now) const;
-  /// The same, on the worker's clock, for a call that goes out.
+  /// Records the lease extension of a call that is about to be sent.
+  /// \returns the end of the lease on the worker's clock.
   WorkerTime extendLease(Instant Now);
   bool isCurrent(const WorkerIncarnation &Worker) const;
   void raiseToken(Instant Now);
   void sendHold(std::chrono::milliseconds Wait, Instant Now);
   std::chrono::milliseconds holdWait(Instant Now) const;
-  /// Renews the lease while a call for ends that cannot waits at the worker.
+  /// Renews the lease while a pending hold call that carries no renewal is
+  /// waiting at the worker.
   void renewIfDue(Instant Now);
   void sendStop(const RunKey &Key, Run &Known, Instant Now);
   void onHoldFailed(const WorkerReply &Reply, Instant Now);
   void tickRuns(Instant Now);
   void lapseAllRuns(Instant Now);
-  /// Tells of what ran when the present life ended, if that was a crash.
+  /// Reports the runs that were active when the current incarnation ended, if
+  /// it crashed.
   void reportCrash(Instant Now);
   void recordLostCall(Instant Now);
   void markListedRuns(const WorkerReply &Reply);
   void processEnds(const WorkerReply &Reply, Instant Now);
-  /// Replaces ends that stay unreadable by what else is known of their runs.
+  /// Settles the runs whose ends stay unreadable from what else is known about
+  /// them.
   void resolveUnreadableEnds(const WorkerReply &Reply, Instant Now);
-  /// Stops the runs that the worker does not list and that the bad ends may
-  /// mean. \returns whether there are any.
+  /// Stops the runs that the worker does not list and that the unreadable ends
+  /// may belong to.
+  /// \returns whether there are any.
   bool stopUnlisted(const WorkerReply &Reply, Instant Now);
   void logUnreadableRows(const WorkerReply &Reply, Instant Now);
   void stopOrphanedRuns(const WorkerReply &Reply, Instant Now);
-  /// Whether runs that could not be read may still be alive.
+  /// Whether runs from unreadable rows may still be active on the worker.
   bool mayHaveUnknownRuns(const WorkerReply &Reply, Instant Now);
   void end(const RunKey &Key, RunOutcome Outcome, Instant Now);
   void refuse(const RunKey &Key, WorkerRefusal Cause, Instant Now);
@@ -221,50 +239,51 @@
   WorkerPort &Port;
   SessionEvents &Events;
   std::optional<WorkerProfile> Profile;
-  /// Lives that were announced while the present one seemed alive. With only
-  /// the last of them kept, a late announcement would displace the new life,
-  /// which is then without its agent until it announces itself again.
+  /// Incarnations that were announced while the current one seemed alive. All
+  /// are kept: if a late announcement replaced that of the new incarnation, the
+  /// new one would have no agent until it announces itself again.
   std::deque<WorkerProfile> Candidates;
   std::uint64_t Token = 0;
-  /// A reading of the worker's clock, and ours when it came.
+  /// The last reading of the worker's clock, and our time when it arrived.
   WorkerTime ClockReading{};
   TimePoint ClockReadingTime;
   std::uint64_t Acknowledged = 0;
-  /// Since when ends have not been readable, and the last readable one then.
+  /// Since when ends could not be parsed, and the last end that could be parsed
+  /// at that time.
   std::optional<TimePoint> UnreadableEndsSince;
   std::uint64_t LastReadableEnd = 0;
-  /// Since when running rows have not been readable.
+  /// Since when rows of running tasks could not be parsed.
   std::optional<TimePoint> UnreadableRunningSince;
   TimePoint NextUnreadableRowsLog = TimePoint::min();
   bool Ready = false;
-  /// The present life has said what it is.
+  /// Whether the current incarnation has announced itself.
   bool Announced = false;
   bool Answering = true;
-  /// The last call for ends failed: whether the worker hears us is not known.
+  /// Whether the last hold call failed, so that the worker may not receive our
+  /// calls.
   bool LastHoldFailed = false;
   TimePoint LastAnswer;
   TimePoint LastLoss = TimePoint::min();
-  /// When the newest lease that the worker may have been given ends.
+  /// When the newest lease ends that the worker may hold.
   TimePoint LeaseEnds = TimePoint::min();
-  /// Calls for ends that have not come back.
+  /// Number of hold calls without a reply so far.
   int PendingHolds = 0;
   TimePoint NextHold = TimePoint::min();
   std::map<RunKey, Run> Runs;
-  /// When the first call since the worker was last heard stayed without a
-  /// reply.
+  /// When the first call was lost since the worker's last reply.
   std::optional<TimePoint> SilentSince;
-  /// Runs that have lapsed since the worker was last heard, and when they were
-  /// started. If it is heard no more, they were there when it ended.
+  /// Runs that have lapsed since the worker's last reply, with their start
+  /// times. If the worker never replies again, they were active when it ended.
   std::map<RunKey, TimePoint> LapsedWhileSilent;
-  /// Runs of an earlier agent, or of the last life of this id, that have to end
-  /// first.
+  /// Runs of an earlier agent, or of the previous incarnation with this id,
+  /// that must end before the worker is ready.
   std::map<RunKey, Run> OrphanedRuns;
-  /// Runs that were begun for the last life of this id. Calls name a life by
-  /// its id, so that the present one may have them.
+  /// Runs started for the previous incarnation with this id. Calls name an
+  /// incarnation only by its id, so the current one may have received them.
   std::map<RunKey, Run> InheritedRuns;
 };
 
-/// A refusal's and an end's name in logs.
+/// Names of refusals and outcomes in logs.
 const char *refusalName(WorkerRefusal Refusal);
 const char *runOutcomeName(RunOutcome End);
 
--- a/agent/worker_session_incarnations.cpp
+++ b/agent/worker_session_incarnations.cpp
@@ -1,4 +1,4 @@
-//===- The part of WorkerSession that follows the worker's lives ----------===//
+//===- WorkerSession: incarnations of the worker --------------------------===//
 
 #include "agent/worker_session.h"
 
@@ -10,8 +10,8 @@
 
 namespace {
 
-/// Lives that wait to be judged. Cuts hold up announcements of one or two;
-/// more come from a writer that makes them up.
+/// Maximum number of incarnations awaiting a decision. Network partitions delay
+/// announcements of one or two; more come from a sender that invents them.
 constexpr std::size_t MaxCandidates = 8;
 
 } // namespace
@@ -48,7 +48,7 @@
 
 void WorkerSession::updateProfile(const WorkerProfile &New, Instant Now) {
   this->Profile->Draining |= New.Draining;
-  // One that was held up on its way must not give room back that has gone.
+  // A delayed announcement must not restore room that is gone.
   if (New.Sequence <= this->Profile->Sequence)
     return;
   this->Profile->Sequence = New.Sequence;
@@ -93,7 +93,7 @@
         return isSameIncarnation(Each.workerIncarnation(), Present);
       });
   bool HasAnnounced = Known != this->Candidates.end();
-  // Until it announces itself, where it was found.
+  // Until it announces itself, it is reached at the known address.
   WorkerProfile Next = HasAnnounced ? *Known : *this->Profile;
   if (!HasAnnounced) {
     Next.StartUnixMs = Reply.StartUnixMs;
@@ -102,7 +102,8 @@
   }
   if (Reply.Clock)
     Next.Clock = *Reply.Clock;
-  // Lives of this id that were announced meanwhile are not there either.
+  // Other incarnations with this id that were announced meanwhile are not there
+  // either.
   std::erase_if(this->Candidates, [&](const WorkerProfile &Each) {
     return Each.Id == Present.Id;
   });
@@ -114,8 +115,8 @@
   bool Lives = Reply.Answered && Reply.Refusal == WorkerRefusal::None;
   bool Replaced =
       Reply.Answered && Reply.Refusal == WorkerRefusal::OtherIncarnation;
-  // No life of an id is there where another id is; and without an answer
-  // nothing is known of which one is.
+  // Where another id has replied, no incarnation of the current id is left.
+  // Without a reply, it is unknown which incarnation with this id is there.
   auto IsOut = [&](const WorkerProfile &Each) {
     return Each.Id == this->Profile->Id;
   };
@@ -130,17 +131,18 @@
            {"born", Late.StartUnixMs.value_or(0)},
            {"alive", this->Profile->Id},
            {"alive_born", this->Profile->StartUnixMs.value_or(0)},
-           {"reason", "the present life of the worker replies"}});
+           {"reason", "the current incarnation of the worker replies"}});
     this->Candidates.clear();
   } else if (Next != this->Candidates.end() &&
              (Replaced ||
               (this->Runs.empty() && this->InheritedRuns.empty()))) {
-    // The others are judged by whether this one is there.
+    // The remaining candidates are decided on by the replies of this one.
     WorkerProfile New = *Next;
     this->Candidates.erase(Next);
     this->attach(New, Now);
   }
-  // Otherwise its runs may go on until their lease has lapsed.
+  // Otherwise the current incarnation's runs may continue until their lease has
+  // expired.
 }
 
 void WorkerSession::reportCrash(Instant Now) {
@@ -149,7 +151,7 @@
   for (const auto &[Key, Known] : this->Runs)
     Started[Key] = Known.StartTime;
   std::vector<RunKey> Last;
-  // What was sent later found nobody.
+  // Runs started later never reached the worker.
   for (const auto &[Key, At] : Started)
     if (!this->SilentSince || At <= *this->SilentSince)
       Last.push_back(Key);
@@ -173,13 +175,14 @@
   this->Answering = true;
   this->LastHoldFailed = false;
   this->LastAnswer = Now.Steady;
-  // Calls until now may have brought a life of this id the longest lease, as
-  // their deadlines were on the last one's clock.
+  // Earlier calls may have given an incarnation with this id the longest lease
+  // that it grants, as their deadlines refer to the previous incarnation's
+  // clock.
   this->LeaseEnds = SharesId ? Now.Steady + this->Options.Lease : Now.Steady;
   this->PendingHolds = 0;
   this->OrphanedRuns.clear();
-  // The time of day is higher than in any earlier life of this agent, unless
-  // the clock was set back; then the worker refuses it and it is raised.
+  // The wall clock is ahead of any token of an earlier run of this agent,
+  // unless it was set back; then the worker refuses the token and it is raised.
   std::uint64_t UnixMs = static_cast<std::uint64_t>(toUnixMillis(Now.Wall));
   this->Token = std::max(this->Token + 1, UnixMs);
   this->Log.decision("worker_attached", {{"worker", New.Id},
@@ -203,8 +206,9 @@
   std::map<RunKey, Run> Over;
   std::swap(Over, this->InheritedRuns);
   for (const auto &[Key, Known] : Over) {
-    // A start that was not listed then, or was sent again, may have been
-    // carried out by the present life, and its end acknowledged unread.
+    // A start that the previous incarnation had not listed, or that was sent
+    // again, may have been executed by the current one, and its end may have
+    // been acknowledged unread.
     bool RanOnlyThere = Known.Listed && Known.StartsLost == 0;
     this->Events.onRunEnded(
         Key, RanOnlyThere ? RunOutcome::Lapsed : RunOutcome::Unknown, Now);
