--- a/agent/agent_core.cpp
+++ b/agent/agent_core.cpp
@@ -17,7 +17,7 @@
 }
 
 std::chrono::milliseconds AgentCore::recordRetention() const {
-  // Longer than any dispatch, its probe and their answers may take.
+  // Longer than a dispatch, its probe and their replies can take together.
   return 3 * this->Options.Freshness;
 }
 
@@ -27,7 +27,7 @@
   this->LastSeen = Now.Steady;
   if (!Frozen || !this->Options.FencesOldDispatches)
     return;
-  // Entries have given up on what was sent meanwhile.
+  // Entries have given up on tasks that were sent in the meantime.
   this->OldestStamp = this->stamp(Now);
   this->rejectQueued(WasFrozen, Now);
 }
@@ -72,7 +72,7 @@
   this->Ledger.setGroups(View, Now.Wall);
 }
 
-// ---- Tasks come in ----
+// ---- Incoming tasks ----
 
 void AgentCore::onDispatch(const PeerRef &From, const peer::Dispatch &Dispatch,
                            Instant Now) {
@@ -83,7 +83,8 @@
 void AgentCore::onOrder(const PeerRef &From, const peer::Dispatch &Dispatch,
                         const peer::TaskOrder &Order, Instant Now) {
   TaskKey Key{Dispatch.job_key(), Order.index()};
-  // Meant for an earlier life, which may have started it: no proof either way.
+  // Meant for an earlier incarnation, which may have started the task; nothing
+  // is proved either way.
   if (Dispatch.agent_incarnation() != this->Options.Incarnation) {
     this->sendEvent(Key, From, Order.attempt(), peer::TASK_CANNOT_KNOW,
                     "the agent has restarted", Now);
@@ -159,7 +160,7 @@
   }
 }
 
-// ---- Tasks end ----
+// ---- Ended tasks ----
 
 void AgentCore::onTaskEnded(const TaskKey &Task, const TaskEnd &End,
                             Instant Now) {
@@ -190,7 +191,7 @@
   }
 }
 
-// ---- Questions and withdrawals ----
+// ---- Probes and withdrawals ----
 
 void AgentCore::onWithdraw(const PeerRef &From, const peer::Withdraw &Withdraw,
                            Instant Now) {
@@ -236,7 +237,8 @@
 
 void AgentCore::withdrawUnknown(const PeerRef &From, const TaskKey &Key,
                                 const peer::TaskAttempt &Asked, Instant Now) {
-  // Had it been taken since that stamp, it would still be remembered.
+  // If the task had been accepted since that stamp, it would still be
+  // remembered.
   std::uint64_t Memory =
       static_cast<std::uint64_t>(this->recordRetention().count());
   if (Asked.freshness() + Memory >= this->stamp(Now))
@@ -287,7 +289,7 @@
 
 void AgentCore::onSendFailed(const std::string &Entry, Instant Now) {
   this->detectFreeze(Now);
-  // Settled holds keys in the order in which they settled.
+  // Settled holds the keys in the order in which tasks ended or were refused.
   for (auto Key = this->Settled.rbegin(); Key != this->Settled.rend(); ++Key) {
     auto Known = this->Records.find(*Key);
     if (Known == this->Records.end())
@@ -300,7 +302,7 @@
   }
 }
 
-// ---- Time ----
+// ---- Draining and expiry ----
 
 void AgentCore::drain(Instant Now) {
   this->Draining = true;
--- a/agent/agent_core.h
+++ b/agent/agent_core.h
@@ -1,12 +1,12 @@
-//===- agent/agent_core.h - The decisions of an agent -----------*- C++ -*-===//
+//===- agent/agent_core.h - Decisions of an agent ---------------*- C++ -*-===//
 ///
 /// \file
-/// Holds the slots of one upstream and a vote in the job ledger. It starts each
-/// task at most once: it remembers what it has taken and what it has refused
-/// for longer than any dispatch may be under way, and a dispatch that rests
-/// on older news of it is refused.
+/// Manages the slots of one upstream and holds a vote in the job ledger. Starts
+/// each task at most once: accepted and refused tasks are remembered for longer
+/// than any dispatch can be in transit, and a dispatch that is based on an
+/// older load report of this agent is refused.
 ///
-/// Single-threaded, without sockets or clocks.
+/// Single-threaded; uses no sockets and no clock of its own.
 ///
 //===----------------------------------------------------------------------===//
 #ifndef YARDWHEEL_AGENT_AGENT_CORE_H
@@ -28,15 +28,16 @@
   std::string Name;
   std::uint64_t Incarnation = 0;
   std::uint32_t Slots = 0;
-  /// A dispatch may rest on news of this agent no older than this.
+  /// Maximum age of the load report of this agent that a dispatch is based on.
   std::chrono::milliseconds Freshness{60000};
-  /// A longer gap between two looks at the clock means it was stopped.
+  /// A longer time between two messages or ticks means that the process was
+  /// suspended.
   std::chrono::milliseconds FreezeGap{2000};
-  /// Results this young are repeated after a failed delivery; longer than a
-  /// delivery's time-out.
+  /// Results up to this age are sent again after a failed delivery. Longer than
+  /// the timeout of a delivery.
   std::chrono::milliseconds RepeatWindow{3000};
   LedgerOptions Ledger;
-  /// Off only in tests that show what the rules are for.
+  /// Disabled only by tests that show what goes wrong without the rules.
   bool RemembersTasks = true;
   bool FencesOldDispatches = true;
 };
@@ -49,11 +50,12 @@
                  Instant Now);
   void onTaskEnded(const TaskKey &Task, const TaskEnd &End, Instant Now);
   void setCatalog(const CatalogView &View, Instant Now);
-  /// A message to an entry may not have arrived: repeats recent results.
+  /// Sends recent results to the entry again, because a message to it may have
+  /// been lost.
   void onSendFailed(const std::string &Entry, Instant Now);
   void tick(Instant Now);
 
-  /// Refuses new tasks from now on and gives back those that wait.
+  /// Refuses new tasks from now on and rejects the queued ones.
   void drain(Instant Now);
   bool isDraining() const { return this->Draining; }
   bool isIdle() const { return this->Running == 0 && this->Queue.empty(); }
@@ -69,7 +71,7 @@
     std::uint32_t Attempt = 0;
     std::string Workspace;
     std::string Payload;
-    /// What was last said of the task's end.
+    /// The update that reported the end of the task.
     peer::TaskUpdate Last;
     TimePoint Changed;
   };
@@ -106,12 +108,13 @@
   LedgerHolder Ledger;
   std::map<TaskKey, Record> Records;
   std::deque<TaskKey> Queue;
-  /// Keys whose record may be forgotten, oldest first.
+  /// Keys of ended and refused tasks, whose records may be forgotten; oldest
+  /// first.
   std::deque<TaskKey> Settled;
   std::uint32_t Running = 0;
   bool Draining = false;
   TimePoint LastSeen = TimePoint::min();
-  /// Dispatches that rest on news from before this are refused.
+  /// Dispatches based on a load report before this stamp are refused.
   std::uint64_t OldestStamp = 0;
 };
 
--- a/agent/lease_keeper.h
+++ b/agent/lease_keeper.h
@@ -1,4 +1,4 @@
-//===- agent/lease_keeper.h - Leased tasks at an agent ----------*- C++ -*-===//
+//===- agent/lease_keeper.h - Leased tasks of an agent ----------*- C++ -*-===//
 ///
 /// \file
 /// Manages the task leases, the queue and the capacity ("room") of one worker.
--- a/agent/lease_keeper_ends.cpp
+++ b/agent/lease_keeper_ends.cpp
@@ -23,7 +23,7 @@
 
 } // namespace
 
-// ---- Tasks end ----
+// ---- Ended tasks ----
 
 LeaseKeeper::Task *LeaseKeeper::findTask(const RunKey &Run) {
   auto Found = this->Tasks.find({Run.Job, Run.Index});
--- a/agent/refusals.h
+++ b/agent/refusals.h
@@ -1,4 +1,4 @@
-//===- agent/refusals.h - Reasons an agent gives ----------------*- C++ -*-===//
+//===- agent/refusals.h - Reasons for refusals ------------------*- C++ -*-===//
 ///
 /// \file
 /// Reasons that an agent gives as proof that a task has not started. An entry
--- a/agent/task_runner.h
+++ b/agent/task_runner.h
@@ -1,9 +1,8 @@
-//===- agent/task_runner.h - What runs a task at the upstream -----*- C++
-//-*-===//
+//===- agent/task_runner.h - Runs tasks at the upstream ---------*- C++ -*-===//
 ///
 /// \file
 /// The agent's interface to its upstream, and so to the platform's worker. The
-/// daemon speaks HTTP behind it; tests and the bench have small fakes.
+/// daemon implements it with HTTP; tests and the bench use small fakes.
 ///
 //===----------------------------------------------------------------------===//
 #ifndef YARDWHEEL_AGENT_TASK_RUNNER_H
@@ -28,7 +27,7 @@
 enum class TaskEndKind {
   Succeeded,
   Failed,
-  /// Proof that the upstream never saw the task.
+  /// Proof that the task never reached the upstream.
   NeverStarted,
 };
 
@@ -42,10 +41,10 @@
 class TaskRunner {
 public:
   virtual ~TaskRunner() = default;
-  /// Starts a task; its end is reported to the agent later.
+  /// Starts a task. Its end is reported to the agent later.
   virtual void start(const TaskKey &Task, const std::string &Workspace,
                      const std::string &Payload) = 0;
-  /// Asks to end a running task early; its end is still reported.
+  /// Asks for an early end of a running task. Its end is still reported.
   virtual void stop(const TaskKey &Task) = 0;
 };
 
--- a/agent/upstream_client.cpp
+++ b/agent/upstream_client.cpp
@@ -11,7 +11,7 @@
 constexpr long HttpOk = 200;
 constexpr long HttpMultiple = 300;
 
-/// Whether the error proves that the upstream has not seen the request.
+/// Whether the error proves that the request never reached the upstream.
 bool neverConnected(CURLcode Code) { return Code == CURLE_COULDNT_CONNECT; }
 
 } // namespace
@@ -60,8 +60,8 @@
     return;
   }
   Next->Started = BootClock::now();
-  // libcurl repeats a request by itself when a reused connection turns out
-  // dead; a fresh connection for each task rules that out.
+  // libcurl repeats a request on its own if a reused connection turns out to be
+  // dead. A fresh connection for each task prevents that.
   curl_easy_setopt(Handle, CURLOPT_FRESH_CONNECT, 1L);
   curl_easy_setopt(Handle, CURLOPT_FORBID_REUSE, 1L);
   this->Loop.add(Handle, *Next);
--- a/agent/upstream_client.h
+++ b/agent/upstream_client.h
@@ -1,10 +1,9 @@
-//===- agent/upstream_client.h - Runs tasks at an upstream by HTTP ---*- C++
-//-*-===//
+//===- agent/upstream_client.h - Tasks over HTTP ----------------*- C++ -*-===//
 ///
 /// \file
 /// Posts each task to the upstream with libcurl. One thread serves all tasks of
-/// the agent. No request is ever made twice: libcurl is told not to retry,
-/// and only a connection that was never made counts as "never started".
+/// the agent. No request is made twice: libcurl is kept from retrying, and only
+/// a connection that was never established counts as "never started".
 ///
 //===----------------------------------------------------------------------===//
 #ifndef YARDWHEEL_AGENT_UPSTREAM_CLIENT_H
@@ -22,7 +21,7 @@
 
 namespace yardwheel {
 
-/// Largest answer of a task that is read, in bytes.
+/// Largest response of a task that is read, in bytes.
 constexpr std::size_t MaxResultBytes = 1048576;
 
 class UpstreamClient final : public TaskRunner {
@@ -55,7 +54,7 @@
   std::chrono::milliseconds Timeout;
   EndHandler OnEnd;
   std::map<CURL *, std::shared_ptr<Transfer>> Transfers;
-  /// Last, as its thread uses all of the above.
+  /// Declared last, because its thread uses all the members above.
   TransferLoop Loop;
 };
 
--- a/agent/worker_port.h
+++ b/agent/worker_port.h
@@ -1,4 +1,4 @@
-//===- agent/worker_port.h - The calls that a worker takes ------*- C++ -*-===//
+//===- agent/worker_port.h - Calls to a worker ------------------*- C++ -*-===//
 ///
 /// \file
 /// The interface between an agent and a worker that runs tasks under leases.
--- a/agent/worker_session.h
+++ b/agent/worker_session.h
@@ -1,4 +1,4 @@
-//===- agent/worker_session.h - Runs under a worker's lease -----*- C++ -*-===//
+//===- agent/worker_session.h - Runs on one worker --------------*- C++ -*-===//
 ///
 /// \file
 /// Controls one worker: starts and stops runs, renews the lease that keeps them
--- a/tests/agent/keeper_fixture.h
+++ b/tests/agent/keeper_fixture.h
@@ -1,4 +1,4 @@
-//===- tests/agent/keeper_fixture.h - An agent with a worker ----*- C++ -*-===//
+//===- tests/agent/keeper_fixture.h - Lease keeper fixture ------*- C++ -*-===//
 ///
 /// \file
 /// A lease keeper between entries and a worker of the test's, in virtual time.
--- a/tests/agent/session_recorders.h
+++ b/tests/agent/session_recorders.h
@@ -1,4 +1,4 @@
-//===- tests/agent/session_recorders.h - What a session does ----*- C++ -*-===//
+//===- tests/agent/session_recorders.h - Session doubles --------*- C++ -*-===//
 ///
 /// \file
 /// Records the calls of a worker session, and what it tells its agent.
