--- a/tests/agent/keeper_fixture.h
+++ b/tests/agent/keeper_fixture.h
@@ -1,7 +1,7 @@
 //===- tests/agent/keeper_fixture.h - Lease keeper fixture ------*- C++ -*-===//
 ///
 /// \file
-/// A lease keeper between entries and a worker of the test's, in virtual time.
+/// Runs a lease keeper between entries and a fake worker, in virtual time.
 ///
 //===----------------------------------------------------------------------===//
 #ifndef YARDWHEEL_TESTS_AGENT_KEEPER_FIXTURE_H
@@ -17,7 +17,7 @@
 
 namespace yardwheel {
 
-/// A worker that starts what it is told to and ends it when a test says so.
+/// A worker that accepts all starts and ends runs when a test says so.
 class FakeWorkerPort final : public WorkerPort {
 public:
   void attach(const WorkerProfile &) override {}
@@ -29,11 +29,11 @@
   }
   std::vector<StartCall> Starts;
   std::vector<StopCall> Stops;
-  /// The longest lease that a call for ends has brought.
+  /// The longest lease that a hold call has carried.
   WorkerTime LeaseUntil{};
 };
 
-/// A worker's answer to a call that has nothing to tell.
+/// A worker's successful reply that reports nothing.
 inline WorkerReply plainReply() {
   WorkerReply Reply;
   Reply.Answered = true;
@@ -55,23 +55,23 @@
   peer::WorkerLoad Load;
 };
 
-/// The agent's own life, by which messages name it.
+/// The agent's incarnation, which messages must name.
 constexpr std::uint64_t AgentIncarnation = 7;
 inline const PeerRef EntryA{"entry-a", "10.0.0.1:1"};
 inline const PeerRef EntryB{"entry-b", "10.0.0.2:1"};
 inline constexpr std::chrono::milliseconds TickInterval{20};
 inline const std::string WorkerId("w");
 
-/// \param CountFromEcho Whether leases count from the stamp that an entry
-/// echoes, as they should, or from its message's arrival.
-inline KeeperOptions optionsWith(bool CountFromEcho) {
+/// \param FromStamp Whether leases count from the stamp that an entry echoes,
+/// as they should, or from the arrival of its message.
+inline KeeperOptions optionsWith(bool FromStamp) {
   KeeperOptions Options;
   Options.Incarnation = AgentIncarnation;
-  Options.LeasesCountFromStamp = CountFromEcho;
+  Options.LeasesCountFromStamp = FromStamp;
   return Options;
 }
 
-/// The group of all tests of the keeper.
+/// Base of all test groups for the keeper.
 class KeeperFixture : public Utest {
 public:
   FakeWorkerPort Port;
@@ -126,7 +126,7 @@
     Message.mutable_offer_reply()->set_offer(Offer);
     return Message;
   }
-  /// Names all placements so far.
+  /// Renews all placements made so far.
   peer::Message renewal(std::uint64_t Stamp) {
     peer::Message Message;
     peer::LeaseRenewal *Renewal = Message.mutable_lease_renewal();
--- a/tests/agent/keeper_updates_test.cpp
+++ b/tests/agent/keeper_updates_test.cpp
@@ -6,11 +6,11 @@
 using namespace yardwheel;
 using namespace std::chrono_literals;
 
-// What the keeper tells entries: ends of runs, and room that falls free.
+// What the keeper sends to entries: ends of runs and offers of free room.
 TEST_GROUP_BASE(KeeperUpdatesTest, KeeperFixture){};
 
-// An entry answers only when all tasks of a job are done.
-TEST(KeeperUpdatesTest, EndsOfOneJobAreToldTogetherAndTheLastAtOnce) {
+// An entry answers its caller only when all tasks of a job are done.
+TEST(KeeperUpdatesTest, EndsOfOneJobAreSentTogetherWithTheLast) {
   LeaseKeeper Keeper(optionsWith(true), Sink, Port);
   attach(Keeper);
   Keeper.onMessage(EntryA, dispatch("j", stamp(), 1000, 100, 3), Now);
@@ -21,7 +21,7 @@
   LONGS_EQUAL(3, Sink.Updates.size());
 }
 
-TEST(KeeperUpdatesTest, AnEndThatWaitsForOthersIsToldSoonAnyhow) {
+TEST(KeeperUpdatesTest, AnEndHeldBackIsSentSoonAnyway) {
   struct Row {
     const char *Name;
     std::function<void(LeaseKeeper &)> Prompt;
@@ -50,7 +50,7 @@
   }
 }
 
-TEST(KeeperUpdatesTest, UpdatesAreToldAgainWhileTheirEntryRenewsItsLease) {
+TEST(KeeperUpdatesTest, LostUpdatesAreResentWhileTheEntryRenewsItsLease) {
   LeaseKeeper Keeper(optionsWith(true), Sink, Port);
   attach(Keeper);
   Keeper.onMessage(EntryA, dispatch("j", stamp()), Now);
@@ -68,7 +68,7 @@
   LONGS_EQUAL(2, Sink.Updates.size());
 }
 
-TEST(KeeperUpdatesTest, EveryEndIsToldOnce) {
+TEST(KeeperUpdatesTest, EveryEndIsReportedOnce) {
   struct Row {
     RunOutcome Outcome;
     peer::LeasedEvent Expected;
@@ -95,7 +95,7 @@
   }
 }
 
-TEST(KeeperUpdatesTest, FreedRoomIsOfferedToTheMostUrgentThatWaitElsewhere) {
+TEST(KeeperUpdatesTest, FreedRoomIsOfferedToTheMostUrgentInterest) {
   LeaseKeeper Keeper(optionsWith(true), Sink, Port);
   attach(Keeper, 2000);
   Keeper.onMessage(EntryA, dispatch("long", stamp(), 1000, 500, 2), Now);
@@ -106,7 +106,7 @@
   end(Keeper, 0, RunOutcome::Done);
   LONGS_EQUAL(1, Sink.Offers.size());
   STRCMP_EQUAL("urgent", Sink.Offers[0].job().c_str());
-  // Its room is held: nothing else starts in it.
+  // Its room is reserved: nothing else starts in it.
   LONGS_EQUAL(2, Port.Starts.size());
   peer::Message Order = dispatch("urgent", stamp(), 1000, 80, 1);
   Order.mutable_leased_dispatch()->set_offer(Sink.Offers[0].offer());
@@ -116,7 +116,7 @@
   STRCMP_EQUAL("urgent", Port.Starts[2].Run.Job.c_str());
 }
 
-TEST(KeeperUpdatesTest, OfferedRoomThatIsNotTakenUpIsUsedByOthers) {
+TEST(KeeperUpdatesTest, OfferedRoomThatIsNotUsedIsReleased) {
   struct Row {
     const char *Name;
     bool Declined;
@@ -137,15 +137,15 @@
     else
       pass(Keeper, 100ms);
     LONGS_EQUAL_TEXT(1, Port.Starts.size(), Row.Name);
-    // Whoever declines has no more tasks that wait.
+    // An entry that declines has no more tasks waiting.
     if (Row.Declined)
       LONGS_EQUAL_TEXT(1, Sink.Offers.size(), Row.Name);
   }
 }
 
-// Offers are numbered anew in each life of an agent, and two entries may have
-// the same job.
-TEST(KeeperUpdatesTest, AnEntryAnswersOnlyForItsOwnOffersAndJobs) {
+// Offer numbers start over with each incarnation of an agent, and two entries
+// may have the same job.
+TEST(KeeperUpdatesTest, AnEntryRepliesOnlyForItsOwnOffersAndJobs) {
   struct Row {
     const char *Name;
     PeerRef From;
@@ -163,7 +163,7 @@
     Keeper.onMessage(EntryA, dispatch("queued", stamp(), 1000, 800, 1), Now);
     Keeper.onMessage(Row.From, decline(Sink.Offers[0].offer()), Now);
     LONGS_EQUAL_TEXT(Row.Starts, Port.Starts.size(), Row.Name);
-    // Nor does it say that another's tasks wait no longer.
+    // It cannot withdraw the interest of another entry either.
     Keeper.onMessage(Row.From, interest("urgent", 0, 0), Now);
     pass(Keeper, 40ms);
     LONGS_EQUAL_TEXT(Row.Offers, Sink.Offers.size(), Row.Name);
--- a/tests/agent/lease_keeper_test.cpp
+++ b/tests/agent/lease_keeper_test.cpp
@@ -10,7 +10,7 @@
 
 TEST_GROUP_BASE(LeaseKeeperTest, KeeperFixture){};
 
-TEST(LeaseKeeperTest, RunsStopWhenTheirEntryFallsSilent) {
+TEST(LeaseKeeperTest, RunsStopWhenTheirEntryBecomesSilent) {
   LeaseKeeper Keeper(optionsWith(true), Sink, Port);
   attach(Keeper);
   Keeper.onMessage(EntryA, dispatch("j", stamp()), Now);
@@ -21,7 +21,7 @@
   LONGS_EQUAL(1, Port.Stops.size());
 }
 
-TEST(LeaseKeeperTest, ARenewalKeepsRunsAndTellsTheNewStamp) {
+TEST(LeaseKeeperTest, ARenewalKeepsRunsAndReturnsANewStamp) {
   LeaseKeeper Keeper(optionsWith(true), Sink, Port);
   attach(Keeper);
   Keeper.onMessage(EntryA, dispatch("j", stamp()), Now);
@@ -33,17 +33,18 @@
   LONGS_EQUAL(0, Port.Stops.size());
 }
 
-// A restarted entry knows nothing of what it sent before, and renews its lease
-// here for other jobs. The callers of the old ones have them run elsewhere.
-TEST(LeaseKeeperTest, ARestartedEntryKeepsNothingOfItsEarlierLife) {
+// A restarted entry does not know what it sent before, and renews its lease
+// here for other jobs. The callers of the old jobs have them run elsewhere.
+TEST(LeaseKeeperTest, ARestartedEntryKeepsNoRunsOfItsEarlierIncarnation) {
   struct Row {
     const char *Name;
     std::uint64_t Incarnation;
     std::size_t Stops;
   };
-  const Row Rows[] = {{"the same life", 5, 0},
-                      {"a later life", 6, 1},
-                      {"a later life after its clock was set back", 4, 1}};
+  const Row Rows[] = {
+      {"the same incarnation", 5, 0},
+      {"a later incarnation", 6, 1},
+      {"a later incarnation after its clock was set back", 4, 1}};
   for (const Row &Row : Rows) {
     Port.Stops.clear();
     LeaseKeeper Keeper(optionsWith(true), Sink, Port);
@@ -53,22 +54,22 @@
     Keeper.onMessage(Before, dispatch("j", stamp()), Now);
     Keeper.onMessage(EntryB, dispatch("other", stamp()), Now);
     pass(Keeper, 200ms);
-    // Another role of the node, with a life of its own.
+    // Another role on the same node, with its own incarnation.
     Keeper.onMessage({EntryA.Node, EntryA.Address, 99}, peer::Message(), Now);
     LONGS_EQUAL_TEXT(0, Port.Stops.size(), Row.Name);
     Keeper.onMessage(After, renewal(stamp()), Now);
     LONGS_EQUAL_TEXT(Row.Stops, Port.Stops.size(), Row.Name);
-    // What it sends now is its own.
+    // What it sends now belongs to its new incarnation.
     Keeper.onMessage(After, dispatch("new", stamp()), Now);
     Keeper.onMessage(After, renewal(stamp()), Now);
     LONGS_EQUAL_TEXT(Row.Stops, Port.Stops.size(), Row.Name);
   }
 }
 
-// A renewal that was held up on its way was sent by an entry that may be gone
-// since: counted from its arrival it would keep runs alive past the time at
-// which the caller may have them started elsewhere.
-TEST(LeaseKeeperTest, AHeldUpRenewalExtendsNoLease) {
+// The sender of a delayed renewal may be gone by the time it arrives. Counted
+// from its arrival, the renewal would keep runs alive past the time at which
+// the caller may have them started elsewhere.
+TEST(LeaseKeeperTest, ADelayedRenewalExtendsNoLease) {
   LeaseKeeper Keeper(optionsWith(true), Sink, Port);
   attach(Keeper);
   std::uint64_t Sent = stamp();
@@ -79,7 +80,7 @@
   LONGS_EQUAL(1, Port.Stops.size());
 }
 
-TEST(LeaseKeeperTest, CountedFromArrivalAHeldUpRenewalWouldExtendIt) {
+TEST(LeaseKeeperTest, CountedFromArrivalADelayedRenewalWouldExtendTheLease) {
   LeaseKeeper Keeper(optionsWith(false), Sink, Port);
   attach(Keeper);
   std::uint64_t Sent = stamp();
@@ -90,7 +91,7 @@
   LONGS_EQUAL(0, Port.Stops.size());
 }
 
-TEST(LeaseKeeperTest, ADispatchOnOldNewsStartsNothingAndSaysSo) {
+TEST(LeaseKeeperTest, ADispatchWithAnOldStampIsRefused) {
   LeaseKeeper Keeper(optionsWith(true), Sink, Port);
   attach(Keeper);
   std::uint64_t Sent = stamp();
@@ -100,13 +101,13 @@
   LONGS_EQUAL(1, Sink.Updates.size());
   CHECK(Sink.Updates[0].event() == peer::LEASED_NOT_STARTED);
   CHECK(Sink.Updates[0].refusal() == peer::REFUSAL_STALE);
-  // With the stamp that came back, the next one is taken.
+  // The next dispatch, with the stamp from the refusal, is accepted.
   Keeper.onMessage(EntryA, dispatch("j", Sink.Updates[0].load().stamp()), Now);
   LONGS_EQUAL(1, Port.Starts.size());
 }
 
-// A renewal takes a round trip to bring a new stamp: what is taken on a stamp
-// that is nearly too old would lapse before.
+// A renewal takes a round trip to bring a new stamp. A task accepted with a
+// stamp that is nearly too old would lapse before that.
 TEST(LeaseKeeperTest, ADispatchThatLeavesNoTimeForARenewalIsRefused) {
   LeaseKeeper Keeper(optionsWith(true), Sink, Port);
   attach(Keeper);
@@ -126,7 +127,7 @@
   CHECK(Sink.Updates.back().refusal() == peer::REFUSAL_OTHER_OWNER);
 }
 
-TEST(LeaseKeeperTest, ADoubledDispatchStartsOnce) {
+TEST(LeaseKeeperTest, ADuplicateDispatchStartsOnce) {
   LeaseKeeper Keeper(optionsWith(true), Sink, Port);
   attach(Keeper);
   peer::Message Order = dispatch("j", stamp());
@@ -136,7 +137,7 @@
   LONGS_EQUAL(0, Sink.Updates.size());
 }
 
-TEST(LeaseKeeperTest, RoomBoundsWhatRunsAndUrgentTasksGoFirst) {
+TEST(LeaseKeeperTest, RoomLimitsRunsAndUrgentTasksGoFirst) {
   LeaseKeeper Keeper(optionsWith(true), Sink, Port);
   attach(Keeper, 2000);
   Keeper.onMessage(EntryA, dispatch("full", stamp(), 1000, 500, 2), Now);
@@ -152,9 +153,9 @@
   }
 }
 
-// The entry has sent it where it believes that it starts at once, and asks
-// another agent sooner than it would start here.
-TEST(LeaseKeeperTest, WhatMustNotWaitIsRefusedAtOnceWhereItDoesNotFit) {
+// The entry expects these tasks to start at once here, and can ask another
+// agent sooner than they would start here.
+TEST(LeaseKeeperTest, StartOrRefuseRefusesTasksThatDoNotFit) {
   LeaseKeeper Keeper(optionsWith(true), Sink, Port);
   attach(Keeper, 2000);
   Keeper.onMessage(EntryA, dispatch("runs", stamp()), Now);
@@ -162,7 +163,7 @@
   peer::Message Order = dispatch("j", stamp(), 1000, 50, 3);
   Order.mutable_leased_dispatch()->set_start_or_refuse(true);
   Keeper.onMessage(EntryA, Order, Now);
-  // One of the three fits, as the first in order does.
+  // One of the three tasks fits, since it is first in the queue's order.
   LONGS_EQUAL(2, Port.Starts.size());
   LONGS_EQUAL(2, Sink.Updates.size());
   for (const peer::LeasedUpdate &Update : Sink.Updates) {
@@ -173,8 +174,9 @@
   LONGS_EQUAL(1, Keeper.queued());
 }
 
-// An entry that misses a receipt cannot know whether its dispatch arrived.
-TEST(LeaseKeeperTest, ADispatchThatIsSentAgainStartsNothingAgain) {
+// An entry that does not get a receipt cannot know whether its dispatch
+// arrived.
+TEST(LeaseKeeperTest, AResentDispatchStartsNothingAgain) {
   struct Row {
     const char *Name;
     RunOutcome Outcome;
@@ -203,7 +205,7 @@
   }
 }
 
-TEST(LeaseKeeperTest, AnswersToRenewalsListWhatTheAskingEntryHasHere) {
+TEST(LeaseKeeperTest, RepliesToRenewalsListThePlacementsOfTheEntry) {
   LeaseKeeper Keeper(optionsWith(true), Sink, Port);
   attach(Keeper, 1000);
   Keeper.onMessage(EntryA, dispatch("runs", stamp()), Now);
@@ -218,8 +220,9 @@
   LONGS_EQUAL(LastOrder, Sink.Load.held_orders(0));
 }
 
-// Entries must not take what they hear of one life for news of another.
-TEST(LeaseKeeperTest, EachLifeOfTheWorkerHasANumberOfItsOwn) {
+// Entries must not mistake reports about one incarnation for those about
+// another.
+TEST(LeaseKeeperTest, EachWorkerIncarnationHasItsOwnNumber) {
   LeaseKeeper Keeper(optionsWith(true), Sink, Port);
   attach(Keeper);
   LONGS_EQUAL(AgentIncarnation, Keeper.incarnation());
@@ -236,7 +239,7 @@
   CHECK_FALSE(Keeper.isLeaving());
 }
 
-TEST(LeaseKeeperTest, AnOutrankedAgentTakesAHigherIncarnation) {
+TEST(LeaseKeeperTest, AnAgentRaisesItsIncarnationAboveAKnownOne) {
   LeaseKeeper Keeper(optionsWith(true), Sink, Port);
   attach(Keeper);
   Keeper.raiseIncarnationAbove(AgentIncarnation - 1);
@@ -265,7 +268,7 @@
   }
 }
 
-TEST(LeaseKeeperTest, ALeavingWorkerGetsNothingAndGivesBackWhatWaits) {
+TEST(LeaseKeeperTest, ALeavingWorkerStartsNothingAndRejectsQueuedTasks) {
   LeaseKeeper Keeper(optionsWith(true), Sink, Port);
   attach(Keeper, 1000);
   Keeper.onMessage(EntryA, dispatch("runs", stamp()), Now);
@@ -282,7 +285,7 @@
   LONGS_EQUAL(1, Port.Starts.size());
 }
 
-TEST(LeaseKeeperTest, AStalledRunIsStoppedOnlyIfItHasRunForSoLong) {
+TEST(LeaseKeeperTest, AStalledRunIsStoppedOnlyAfterTheGivenTime) {
   LeaseKeeper Keeper(optionsWith(true), Sink, Port);
   attach(Keeper);
   Keeper.onMessage(EntryA, dispatch("j", stamp(), 1000, 100, 2), Now);
@@ -299,7 +302,7 @@
   LONGS_EQUAL(1, Port.Stops[0].Run.Index);
 }
 
-TEST(LeaseKeeperTest, AStopProvesThatWhatWaitsHasNotStarted) {
+TEST(LeaseKeeperTest, AStopRejectsQueuedTasksAsNotStarted) {
   LeaseKeeper Keeper(optionsWith(true), Sink, Port);
   attach(Keeper, 1000);
   Keeper.onMessage(EntryA, dispatch("j", stamp(), 1000, 100, 2), Now);
--- a/tests/agent/placement_lease_test.cpp
+++ b/tests/agent/placement_lease_test.cpp
@@ -1,4 +1,4 @@
-// Leases of single placements at an agent.
+// Tests that the lease of each placement at an agent is kept separately.
 
 #include "tests/agent/keeper_fixture.h"
 
@@ -13,7 +13,7 @@
 TEST_GROUP_BASE(PlacementLeaseTest, KeeperFixture) {
   LeaseKeeper Keeper{optionsWith(true), Sink, Port};
   void setup() override { attach(Keeper); }
-  /// Stops are repeated until they are confirmed.
+  /// Stops are repeated until they are confirmed, so each job counts once.
   std::set<std::string> stoppedJobs() const {
     std::set<std::string> Jobs;
     for (const StopCall &Call : Port.Stops)
@@ -51,7 +51,7 @@
   CHECK(stoppedJobs() == Jobs{"other"});
 }
 
-// Another entry may give its placements the same numbers.
+// Another entry may use the same order numbers.
 TEST(PlacementLeaseTest, AnEntryRenewsOnlyItsOwnPlacements) {
   Keeper.onMessage(EntryB, dispatch("j", stamp()), Now);
   for (int I = 0; I < 5; ++I) {
@@ -71,16 +71,16 @@
   LONGS_EQUAL(1, Port.Stops[0].Run.Index);
 }
 
-// An agent that stood still reads what came meanwhile before it looks at the
-// time; its entry may have carried the stamp on.
-TEST(PlacementLeaseTest, ARenewalThatIsReadFirstRevivesNoLapsedLease) {
+// After a suspension an agent reads the messages that have arrived before it
+// checks the time. The entry may have advanced its copy of the stamp meanwhile.
+TEST(PlacementLeaseTest, ARenewalReadBeforeTheClockRevivesNoLapsedLease) {
   Keeper.onMessage(EntryA, dispatch("j", stamp()), Now);
   Now.Steady += 1000ms;
   renew({1});
   CHECK(stoppedJobs() == Jobs{"j"});
 }
 
-TEST(PlacementLeaseTest, AWorkerThatBecomesFreeStartsNothingThatHasLapsed) {
+TEST(PlacementLeaseTest, FreedRoomStartsNoTaskThatHasLapsed) {
   struct Row {
     const char *Name;
     std::chrono::milliseconds StoodStill;
@@ -104,9 +104,9 @@
   }
 }
 
-// The agent may stand still, or its stops may not be taken, just when a lease
-// lapses that an entry held. The worker's own lease then ends the run, and must
-// not come on top of the entry's.
+// Just when an entry's lease lapses, the agent may be suspended or its stops
+// may get lost. The worker's own lease then ends the run, and must not add its
+// length to the entry's lease.
 TEST(PlacementLeaseTest, TheWorkersLeaseOutlastsNoLeaseOfItsRuns) {
   KeeperOptions Options = optionsWith(true);
   WorkerTime EntryLease = Options.EntryLease;
@@ -121,18 +121,19 @@
   CHECK(stoppedJobs() == Jobs{"given-up"});
   CHECK(Port.LeaseUntil > EntryLease);
   CHECK(Port.LeaseUntil <= EntryLease + Options.StopAllowance);
-  // Nothing could be started under a lease that ends.
+  // Nothing can be started under a lease that is about to end.
   Keeper.onMessage(EntryB, dispatch("late", stamp()), Now);
   LONGS_EQUAL(2, Port.Starts.size());
-  // Once it has ended, the other goes on and the next one starts.
+  // Once the stopped run has ended, the other one continues and the next one
+  // starts.
   end(Keeper, 0, RunOutcome::Stopped);
   pass(Keeper, 20ms);
   LONGS_EQUAL(3, Port.Starts.size());
   CHECK(Port.LeaseUntil > EntryLease + Options.StopAllowance);
 }
 
-// The worker's lease holds for all that runs there, whichever start brought it.
-TEST(PlacementLeaseTest, ATaskWithoutALeaseAsLongAsTheWorkersIsNotStarted) {
+// The worker's lease covers all of its runs, whichever start carried it.
+TEST(PlacementLeaseTest, ATaskWithAShorterLeaseThanTheWorkersIsNotStarted) {
   struct Row {
     const char *Name;
     std::chrono::milliseconds StampAge;
@@ -149,15 +150,15 @@
         "late", stamp() - static_cast<std::uint64_t>(Row.StampAge.count()));
     Other.onMessage(EntryB, Late, Now);
     LONGS_EQUAL_TEXT(Row.Starts, Port.Starts.size(), Row.Name);
-    // Its entry still wants it.
+    // The entry still renews this placement.
     Other.onMessage(EntryB, renewal(stamp()), Now);
     pass(Other, 20ms);
     LONGS_EQUAL_TEXT(2, Port.Starts.size(), Row.Name);
   }
 }
 
-// It may start when its lease is nearly over.
-TEST(PlacementLeaseTest, ATaskThatWaitsLimitsTheWorkersLease) {
+// A queued task may start when its lease is nearly over.
+TEST(PlacementLeaseTest, AQueuedTaskLimitsTheWorkersLease) {
   KeeperOptions Options = optionsWith(true);
   Keeper.onMessage(EntryA, dispatch("runs", stamp(), 4000), Now);
   Keeper.onMessage(EntryB, dispatch("waits", stamp()), Now);
@@ -173,7 +174,7 @@
         Options.EntryLease + Options.StopAllowance);
 }
 
-// What else runs there must not end with it.
+// The worker's other runs must not end with the stopped one.
 TEST(PlacementLeaseTest, AStopThatHasTakenEffectLimitsNoLease) {
   struct Row {
     const char *Name;
--- a/tests/agent/session_recorders.h
+++ b/tests/agent/session_recorders.h
@@ -1,7 +1,7 @@
 //===- tests/agent/session_recorders.h - Session doubles --------*- C++ -*-===//
 ///
 /// \file
-/// Records the calls of a worker session, and what it tells its agent.
+/// Record the calls that a worker session makes and the events it reports.
 ///
 //===----------------------------------------------------------------------===//
 #ifndef YARDWHEEL_TESTS_AGENT_SESSION_RECORDERS_H
@@ -28,7 +28,7 @@
     return {this->Id, this->StartUnixMs};
   }
 
-  /// The id of the life that calls go to, and its time of birth.
+  /// The worker incarnation that calls are directed to.
   std::string Id;
   std::optional<std::uint64_t> StartUnixMs;
   std::vector<StartCall> Starts;
@@ -55,7 +55,7 @@
   TimePoint EndBy = TimePoint::max();
   std::vector<WorkerRefusal> Refusals;
   std::vector<RunOutcome> Ends;
-  /// Of each crash, the number of runs.
+  /// The number of runs of each crash.
   std::vector<std::size_t> Crashed;
   int Attached = 0;
   int Ready = 0;
--- a/tests/agent/worker_incarnation_test.cpp
+++ b/tests/agent/worker_incarnation_test.cpp
@@ -1,6 +1,6 @@
-// A worker may start again under the id that it had, and then knows nothing of
-// before: its announcements, its ends, its clock and its runs begin anew. Each
-// place that tells two lives apart must go by the time of birth as well.
+// A worker may restart under its old id without knowing anything of before: its
+// announcements, numbers of ends, clock and runs start over. Every place that
+// tells incarnations apart must therefore compare the start time as well.
 
 #include "tests/agent/keeper_fixture.h"
 #include "tests/agent/session_recorders.h"
@@ -58,25 +58,25 @@
     Session.onHoldReply(First, replyOf(FirstBorn), Now);
     CHECK(Session.isReady());
   }
-  /// Starts a run that the first life is known to hold.
+  /// Starts a run, whose start the first incarnation confirms.
   void startRun(const RunKey &Key) {
     Session.start(Key, "spec", Now);
     Session.onStartReply(First, Key, replyOf({}), Now);
   }
-  void proveFirst(const RunKey &Key) {
+  void listInFirst(const RunKey &Key) {
     WorkerReply Held = replyOf(FirstBorn);
     Held.Running.push_back(Key);
     pass(10ms);
     Session.onHoldReply(First, Held, Now);
   }
-  /// The second life answers a call that was meant for the first.
+  /// The second incarnation replies to a call meant for the first.
   void replaceFirst() {
     pass(2s);
     WorkerReply Reply = replyOf(SecondBorn);
     Reply.Clock = WorkerTime(700);
     Session.onHoldReply(First, Reply, Now);
   }
-  /// The second life answers what is asked of it, and says what it is.
+  /// The second incarnation replies to its first call and announces itself.
   void settleSecond(const WorkerReply &Reply) {
     Session.onHoldReply(Second, Reply, Now);
     Session.onProfile(profileOf(SecondBorn, 1), Now);
@@ -96,9 +96,10 @@
   CHECK(Session.isReady());
 }
 
-// Also where the clocks of hosts were set back between the two: which of them
-// is there is asked, not concluded from which was born first.
-TEST(WorkerIncarnationTest, ALateAnnouncementOfAnotherLifeChangesNothing) {
+// This includes wall clocks that were set back between the two: the agent asks
+// which incarnation is there instead of comparing their start times.
+TEST(WorkerIncarnationTest,
+     ALateAnnouncementOfAnotherIncarnationChangesNothing) {
   for (std::uint64_t Other : {FirstBorn - 5000, FirstBorn + 5000}) {
     attachFirst();
     WorkerProfile Late = profileOf(Other, 99);
@@ -113,8 +114,9 @@
   }
 }
 
-// No answer says which of two lives is there; the next one will.
-TEST(WorkerIncarnationTest, SilenceDecidesNothingBetweenLivesOfOneId) {
+// A missing reply does not tell which of two incarnations is there; the next
+// one will.
+TEST(WorkerIncarnationTest, SilenceDoesNotDecideBetweenIncarnations) {
   attachFirst();
   Session.onProfile(profileOf(FirstBorn - 5000, 99), Now);
   Session.onHoldReply(First, WorkerReply(), Now);
@@ -125,8 +127,8 @@
   CHECK(Session.isReady());
 }
 
-// A worker forgets its ends up to the number that it is told.
-TEST(WorkerIncarnationTest, EndsAreCountedAnewInEachLife) {
+// A worker forgets its ends up to the acknowledged number.
+TEST(WorkerIncarnationTest, EndsAreNumberedAnewInEachIncarnation) {
   attachFirst();
   startRun(Run);
   WorkerReply Told = replyOf(FirstBorn);
@@ -145,9 +147,9 @@
   LONGS_EQUAL(1, Port.Holds.back().AcknowledgedEnd);
 }
 
-// A deadline on the clock of the last life would be the longest lease that the
-// new one grants.
-TEST(WorkerIncarnationTest, LeasesGoByTheClockOfTheLifeThatGrantsThem) {
+// Interpreted by the clock of the new incarnation, a deadline on the previous
+// clock would become the longest lease that it grants.
+TEST(WorkerIncarnationTest, LeasesUseTheClockOfTheIncarnationThatGrantsThem) {
   attachFirst();
   replaceFirst();
   settleSecond(replyOf(SecondBorn));
@@ -156,16 +158,16 @@
   CHECK(Port.Starts.back().LeaseUntil > WorkerTime(700));
 }
 
-// Calls that were meant for the last life, and are carried out late, are
-// refused by the token of the first call that was meant for the new one.
-TEST(WorkerIncarnationTest, ANewLifeGetsAHigherToken) {
+// Calls meant for the previous incarnation that are executed late are refused,
+// because the first call to the new one carried a higher token.
+TEST(WorkerIncarnationTest, ANewIncarnationGetsAHigherToken) {
   attachFirst();
   std::uint64_t Before = Port.Holds.back().FencingToken;
   replaceFirst();
   CHECK(Port.Holds.back().FencingToken > Before);
 }
 
-TEST(WorkerIncarnationTest, RepliesOfTheLastLifeChangeNothing) {
+TEST(WorkerIncarnationTest, RepliesOfThePreviousIncarnationChangeNothing) {
   attachFirst();
   startRun(Run);
   replaceFirst();
@@ -185,11 +187,11 @@
   CHECK(Port.Starts.back().LeaseUntil < WorkerTime(999000));
 }
 
-// It was known to run in the life that has ended.
-TEST(WorkerIncarnationTest, WhatRanInTheLastLifeHasLapsedAndCountsAsACrash) {
+// The run was known to be active in the incarnation that has ended.
+TEST(WorkerIncarnationTest, RunsOfThePreviousIncarnationLapseAndCountAsACrash) {
   attachFirst();
   startRun(Run);
-  proveFirst(Run);
+  listInFirst(Run);
   replaceFirst();
   settleSecond(replyOf(SecondBorn));
   LONGS_EQUAL(1, Events.Ends.size());
@@ -197,9 +199,10 @@
   LONGS_EQUAL(1, Events.Crashed.size());
 }
 
-// Its id let the new life take a start that was meant for the last one. Told as
-// ended it would be begun elsewhere beside itself.
-TEST(WorkerIncarnationTest, WhatANewLifeHasBegunForTheLastIsStoppedFirst) {
+// The new incarnation has the same id and could accept a start meant for the
+// previous one. If the run were reported as ended, the task would be started
+// elsewhere while it still runs here.
+TEST(WorkerIncarnationTest, RunsThatANewIncarnationInheritedAreStoppedFirst) {
   attachFirst();
   startRun(Run);
   replaceFirst();
@@ -218,9 +221,9 @@
   CHECK(Session.isReady());
 }
 
-// The new life may have begun it, ended it, and forgotten that end for an
-// acknowledgement that was meant for the last life.
-TEST(WorkerIncarnationTest, WhatMayHaveEndedUnheardIsNotToldAsLapsed) {
+// The new incarnation may have started and ended the run, and may have
+// forgotten that end because of an acknowledgement meant for the previous one.
+TEST(WorkerIncarnationTest, ARunThatMayHaveEndedUnreportedIsUnknown) {
   attachFirst();
   pass(10ms);
   startRun(Run);
@@ -230,9 +233,9 @@
   CHECK(Events.Ends[0] == RunOutcome::Unknown);
 }
 
-// What it is must be known from itself: another life may have another room.
-TEST(WorkerIncarnationTest,
-     ALifeThatOnlyAnsweredGetsNothingBeforeItsAnnouncement) {
+// Only its announcement tells what it is: a new incarnation may have different
+// room.
+TEST(WorkerIncarnationTest, AnIncarnationGetsNoRunsBeforeItsAnnouncement) {
   attachFirst();
   replaceFirst();
   Session.onHoldReply(Second, replyOf(SecondBorn), Now);
@@ -248,8 +251,9 @@
   STRCMP_EQUAL("10.0.0.9:1", Session.profile().Address.c_str());
 }
 
-// An id that is not there proves that no life of that id is.
-TEST(WorkerIncarnationTest, AnotherIdAtTheAddressRulesOutEachLifeOfThisOne) {
+// If another id has replied, no incarnation of the old id is there.
+TEST(WorkerIncarnationTest,
+     AnotherIdAtTheAddressRulesOutAllIncarnationsOfThisId) {
   attachFirst();
   Session.onProfile(profileOf(SecondBorn, 1), Now);
   Session.onHoldReply(First, replyOf({}, WorkerRefusal::OtherIncarnation), Now);
@@ -261,7 +265,7 @@
   STRCMP_EQUAL("other", Session.profile().Id.c_str());
 }
 
-TEST(WorkerIncarnationTest, WithoutATimeOfBirthTheIdAloneIsTheLife) {
+TEST(WorkerIncarnationTest, WithoutAStartTimeTheIdAloneIdentifiesTheWorker) {
   struct Row {
     const char *Name;
     std::optional<std::uint64_t> Announced;
@@ -295,14 +299,14 @@
 Profile.Room.set_memory_mb(1000);
 return Profile;
 }
-void beginLife(LeaseKeeper &Keeper, std::uint64_t StartUnixMs) {
+void beginIncarnation(LeaseKeeper &Keeper, std::uint64_t StartUnixMs) {
   Keeper.onProfile(profileBorn(StartUnixMs), Now);
   Keeper.session().onHoldReply({WorkerId, StartUnixMs}, replyOf(StartUnixMs),
                                Now);
   CHECK(Keeper.session().isReady());
 }
-/// Another life of the worker answers, and says what it is.
-void replaceLife(LeaseKeeper &Keeper, const WorkerReply &Held) {
+/// Another incarnation of the worker replies and announces itself.
+void replaceIncarnation(LeaseKeeper &Keeper, const WorkerReply &Held) {
   Keeper.session().onHoldReply({WorkerId, FirstBorn}, replyOf(SecondBorn), Now);
   Keeper.session().onHoldReply({WorkerId, SecondBorn}, Held, Now);
   Keeper.onProfile(profileBorn(SecondBorn), Now);
@@ -310,64 +314,66 @@
 }
 ;
 
-// Held up on its way, it would take a new life out of use for good.
-TEST(KeeperIncarnationTest, ALateLeavingOfAnEarlierLifeChangesNothing) {
+// Arriving late, the announcement would put the new incarnation out of use for
+// good.
+TEST(KeeperIncarnationTest, ALateLeaveOfAnEarlierIncarnationChangesNothing) {
   LeaseKeeper Keeper(optionsWith(true), Sink, Port);
-  beginLife(Keeper, SecondBorn);
+  beginIncarnation(Keeper, SecondBorn);
   Keeper.onWorkerLeft({WorkerId, FirstBorn}, Now);
   CHECK_FALSE(Keeper.isLeaving());
   Keeper.onWorkerLeft({WorkerId, SecondBorn}, Now);
   CHECK(Keeper.isLeaving());
 }
 
-// Entries tell lives of a worker apart by the agent's number for each.
-TEST(KeeperIncarnationTest, EachLifeOfOneIdHasANumberOfItsOwnForEntries) {
+// Entries distinguish incarnations of a worker by the agent's number for each.
+TEST(KeeperIncarnationTest, EntriesSeeANumberForEachIncarnationOfOneId) {
   LeaseKeeper Keeper(optionsWith(true), Sink, Port);
-  beginLife(Keeper, FirstBorn);
+  beginIncarnation(Keeper, FirstBorn);
   std::uint64_t Before = Keeper.incarnation();
-  replaceLife(Keeper, replyOf(SecondBorn));
+  replaceIncarnation(Keeper, replyOf(SecondBorn));
   CHECK(Keeper.incarnation() > Before);
-  // What was meant for the last life is not begun by the new one.
+  // The new incarnation does not start what was meant for the previous one.
   Keeper.onMessage(EntryA, dispatch("job", stamp()), Now);
   LONGS_EQUAL(0, Port.Starts.size());
   CHECK(Sink.Updates.back().refusal() == peer::REFUSAL_STALE);
 }
 
-// The entry is told nothing that would let it place the task again; it takes
-// it for lost with the agent's earlier life.
-TEST(KeeperIncarnationTest, ATaskOfUnknownEndIsNotGivenBackForAnotherStart) {
+// The entry must not be told anything that lets it place the task again. It
+// counts the task as lost with the agent's previous incarnation.
+TEST(KeeperIncarnationTest, ATaskWithAnUnknownEndIsNotReported) {
   LeaseKeeper Keeper(optionsWith(true), Sink, Port);
-  beginLife(Keeper, FirstBorn);
+  beginIncarnation(Keeper, FirstBorn);
   Keeper.onMessage(EntryA, dispatch("job", stamp()), Now);
   LONGS_EQUAL(1, Port.Starts.size());
-  replaceLife(Keeper, replyOf(SecondBorn));
+  replaceIncarnation(Keeper, replyOf(SecondBorn));
   LONGS_EQUAL(0, Sink.Updates.size());
   CHECK(Keeper.isIdle());
-  // Its room is free again.
+  // The task's room is free again.
   peer::Message Next = dispatch("next", stamp(), 16000);
   Next.mutable_leased_dispatch()->set_agent_incarnation(Keeper.incarnation());
   Keeper.onMessage(EntryA, Next, Now);
   LONGS_EQUAL(2, Port.Starts.size());
 }
 
-// A crash of one life is not counted for the next one of its id.
-TEST(KeeperIncarnationTest, CrashesAreToldByLife) {
+// A crash of one incarnation must not be counted for the next one with the same
+// id.
+TEST(KeeperIncarnationTest, CrashesAreReportedByIncarnation) {
   LeaseKeeper Keeper(optionsWith(true), Sink, Port);
-  beginLife(Keeper, FirstBorn);
+  beginIncarnation(Keeper, FirstBorn);
   std::uint64_t Incarnation = Keeper.incarnation();
   Keeper.onMessage(EntryA, dispatch("job", stamp()), Now);
-  replaceLife(Keeper, replyOf(SecondBorn));
+  replaceIncarnation(Keeper, replyOf(SecondBorn));
   Keeper.onMessage(EntryA, renewal(stamp()), Now);
   LONGS_EQUAL(1, Sink.Load.crashes_size());
   CHECK(Sink.Load.crashes(0).incarnation() == Incarnation);
 }
 
-// A worker refuses a run that is not above one that it has seen.
-TEST(KeeperIncarnationTest, RunNumbersGoOnRisingAcrossLives) {
+// A worker refuses a run whose number is not above the highest it has seen.
+TEST(KeeperIncarnationTest, RunNumbersKeepRisingAcrossIncarnations) {
   LeaseKeeper Keeper(optionsWith(true), Sink, Port);
-  beginLife(Keeper, FirstBorn);
+  beginIncarnation(Keeper, FirstBorn);
   Keeper.onMessage(EntryA, dispatch("job", stamp()), Now);
-  replaceLife(Keeper, replyOf(SecondBorn));
+  replaceIncarnation(Keeper, replyOf(SecondBorn));
   peer::Message Again = dispatch("job", stamp());
   Again.mutable_leased_dispatch()->set_agent_incarnation(Keeper.incarnation());
   Keeper.onMessage(EntryA, Again, Now);
--- a/tests/agent/worker_room_test.cpp
+++ b/tests/agent/worker_room_test.cpp
@@ -1,9 +1,9 @@
-//===- A worker whose room shrinks and grows while it runs ----------------===//
+//===- Changes of a worker's room within one incarnation ------------------===//
 //
-// A worker's room may change within one life, and what it says of itself shows
-// it. An agent that holds to the room of the first announcement starts a task
-// too many: with 4 tasks of 1 core running, a worker that had shrunk from 4
-// cores to 2 was sent a fifth as soon as one of them ended.
+// A worker's room may change within one incarnation; its announcements report
+// it. An agent that keeps to the room of the first announcement starts too many
+// tasks: after a worker with 4 running tasks of 1 core had shrunk from 4 cores
+// to 2, it was sent a fifth task as soon as one of the four ended.
 //
 //===----------------------------------------------------------------------===//
 
@@ -43,7 +43,7 @@
     Profile.Room.set_memory_mb(MemoryMb);
     this->Keeper.onProfile(Profile, this->Now);
   }
-  /// Sends tasks of one core each.
+  /// Sends tasks of one core each, unless told otherwise.
   void dispatch(const std::string &Job, std::uint32_t Tasks,
                 std::uint64_t Offer = 0, std::uint32_t Cores = 1) {
     peer::Message Message;
@@ -117,25 +117,26 @@
 
 TEST_GROUP(WorkerRoomTest){};
 
-TEST(WorkerRoomTest, TheNewestWordOfALifeHolds) {
-  struct Word {
+TEST(WorkerRoomTest, TheNewestAnnouncementOfAnIncarnationApplies) {
+  struct Announcement {
     std::uint64_t Sequence;
     std::uint32_t Cores;
   };
   struct Row {
     const char *Name;
-    std::vector<Word> Words;
+    std::vector<Announcement> Announcements;
     std::uint32_t Cores;
   };
-  const Row Rows[] = {{"shrinks", {{2, 2}}, 2},
-                      {"shrinks and grows", {{2, 2}, {3, 8}}, 8},
-                      {"a late word after a newer one", {{3, 2}, {2, 8}}, 2},
-                      {"the same word twice", {{2, 2}, {2, 8}}, 2},
-                      {"to nothing", {{2, 0}}, 0},
-                      {"and back", {{2, 0}, {3, 4}}, 4}};
+  const Row Rows[] = {
+      {"shrinks", {{2, 2}}, 2},
+      {"shrinks and grows", {{2, 2}, {3, 8}}, 8},
+      {"a late announcement after a newer one", {{3, 2}, {2, 8}}, 2},
+      {"the same announcement twice", {{2, 2}, {2, 8}}, 2},
+      {"to nothing", {{2, 0}}, 0},
+      {"and back", {{2, 0}, {3, 4}}, 4}};
   for (const Row &Row : Rows) {
     RoomFixture Bench;
-    for (const Word &Said : Row.Words)
+    for (const Announcement &Said : Row.Announcements)
       Bench.announce(Said.Sequence, Said.Cores);
     LONGS_EQUAL_TEXT(Row.Cores * Core, Bench.load().room().cpu_milli(),
                      Row.Name);
@@ -144,7 +145,7 @@
   }
 }
 
-TEST(WorkerRoomTest, WhatRunsGoesOnAndNothingStartsUntilItFits) {
+TEST(WorkerRoomTest, RunsContinueAndNothingStartsUntilItFits) {
   RoomFixture Bench;
   Bench.dispatch("running", 4);
   Bench.announce(2, 2);
@@ -157,7 +158,7 @@
   LONGS_EQUAL(5, Bench.Port.Starts.size());
 }
 
-TEST(WorkerRoomTest, WhatWaitedIsGivenBackAsNotStarted) {
+TEST(WorkerRoomTest, QueuedTasksAreRejectedAsNotStarted) {
   RoomFixture Bench;
   Bench.dispatch("running", 4);
   Bench.dispatch("waits", 3);
@@ -166,8 +167,8 @@
   LONGS_EQUAL(4, Bench.Port.Starts.size());
 }
 
-// Else it would keep its turn for good, and others from theirs.
-TEST(WorkerRoomTest, ATaskLargerThanTheRoomIsRefusedAndHoldsUpNobody) {
+// Otherwise the task would block the head of the queue forever.
+TEST(WorkerRoomTest, ATaskLargerThanTheRoomIsRefusedAndBlocksNoOthers) {
   RoomFixture Bench;
   Bench.dispatch("large", 1, 0, /*Cores=*/3);
   Bench.dispatch("waits", 1, 0, /*Cores=*/3);
@@ -185,7 +186,7 @@
   LONGS_EQUAL(4, Bench.Port.Starts.size());
 }
 
-TEST(WorkerRoomTest, OfferedRoomThatHasGoneStartsNothing) {
+TEST(WorkerRoomTest, AnOfferOfRoomThatIsGoneStartsNothing) {
   RoomFixture Bench;
   Bench.dispatch("running", 2);
   Bench.askForOffer("offered", 2);
@@ -196,7 +197,7 @@
   LONGS_EQUAL(1, Bench.refusedBusy());
 }
 
-TEST(WorkerRoomTest, RoomThatGrowsIsUsedAtOnce) {
+TEST(WorkerRoomTest, AddedRoomIsUsedAtOnce) {
   RoomFixture Bench;
   Bench.dispatch("running", 4);
   Bench.dispatch("waits", 3);
@@ -204,9 +205,9 @@
   LONGS_EQUAL(6, Bench.Port.Starts.size());
 }
 
-// An entry hears of it with the next load, and neither an older load nor
-// control's word, which comes later, takes it back.
-TEST(WorkerRoomTest, AnEntryPlacesByTheRoomThatItsAgentTold) {
+// An entry learns the room from the next load. Neither an older load nor the
+// later report of a control may undo that.
+TEST(WorkerRoomTest, AnEntryPlacesByTheRoomThatTheAgentReports) {
   TimePoint Now(1h);
   LeaseBoard Board(LeaseBoardOptions(), 1);
   peer::Member Member;
--- a/tests/agent/worker_session_test.cpp
+++ b/tests/agent/worker_session_test.cpp
@@ -39,14 +39,15 @@
     Session.onProfile(Profile, Now);
     Session.onHoldReply({"life-1"}, answered(), Now);
   }
-  /// Leaves as many starts without a reply as the session makes.
+  /// Leaves all attempts of a start without a reply.
   void loseStarts() {
     for (std::uint32_t I = 0; I < Options.MaxStartAttempts; ++I)
       Session.onStartReply({"life-1"}, Run, WorkerReply(), Now);
   }
 };
 
-// Carried out once, however often it is sent: the run's number is the same.
+// The worker executes a start once, however often it is sent, because the run's
+// number stays the same.
 TEST(WorkerSessionTest, AStartWithoutReplyIsSentAgainAsTheSameRun) {
   attach();
   Session.start(Run, "spec", Now);
@@ -63,7 +64,7 @@
   LONGS_EQUAL(0, Events.Ends.size());
 }
 
-// Its first start may have begun it, whatever is said of the second.
+// The first start may have started the run, whatever the reply to the second.
 TEST(WorkerSessionTest, ARefusalAfterALostStartProvesNothing) {
   const WorkerRefusal Rows[] = {WorkerRefusal::StaleRun, WorkerRefusal::NoRoom,
                                 WorkerRefusal::Fenced,
@@ -79,7 +80,7 @@
     LONGS_EQUAL(++Stops, Port.Stops.size());
     Session.onStopReply({"life-1"}, Run, answered(), Now);
   }
-  // One of them had begun and is done.
+  // One of them had started and is done.
   WorkerReply Held = answered();
   Held.Ended.push_back({1, Run, RunOutcome::Done});
   Session.onHoldReply({"life-1"}, Held, Now);
@@ -89,7 +90,7 @@
   LONGS_EQUAL(4, Events.Ends.size());
 }
 
-TEST(WorkerSessionTest, AStopEndsTheRepetitionOfALostStart) {
+TEST(WorkerSessionTest, AStopEndsTheRetriesOfALostStart) {
   attach();
   Session.start(Run, "spec", Now);
   Session.stop(Run, Now);
@@ -97,8 +98,9 @@
   LONGS_EQUAL(1, Port.Starts.size());
 }
 
-// An announcement of a life that has ended may have been held up on its way.
-TEST(WorkerSessionTest, AnnouncementsAreBelievedOnlyOnceTheLastLifeHasEnded) {
+// An announcement of an incarnation that has ended may arrive late.
+TEST(WorkerSessionTest,
+     AnAnnouncementAppliesOnlyOnceTheLastIncarnationHasEnded) {
   struct Row {
     const char *Name;
     bool HasRuns;
@@ -135,7 +137,7 @@
     STRCMP_EQUAL_TEXT(Row.Expected, Port.Id.c_str(), Row.Name);
     LONGS_EQUAL_TEXT(Ends + (Moves ? Alive : 0), Events.Ends.size(), Row.Name);
     LONGS_EQUAL_TEXT(Attached + (Moves ? 1 : 0), Events.Attached, Row.Name);
-    // The present life replies, and ends what it has.
+    // The current incarnation replies and reports the end of its run.
     WorkerReply Held = answered();
     if (Row.HasRuns && Session.runs() > 0)
       Held.Ended.push_back({1, Run, RunOutcome::Done});
@@ -145,9 +147,10 @@
   }
 }
 
-// Held up since before the restart, it may arrive beside the new life's own
-// announcement, before the reply that proves the last one gone.
-TEST(WorkerSessionTest, ALateAnnouncementHidesNoNewLife) {
+// An announcement delayed since before the restart may arrive together with the
+// new incarnation's own one, before the reply that proves that the previous one
+// is gone.
+TEST(WorkerSessionTest, ALateAnnouncementHidesNoNewIncarnation) {
   using Pair = std::pair<const char *, const char *>;
   for (auto [First, Second] :
        {Pair{"life-2", "life-0"}, Pair{"life-0", "life-2"}}) {
@@ -156,7 +159,7 @@
       Profile.Id = Id;
       Restarted.onProfile(Profile, Now);
     }
-    // Only the new life is there to reply.
+    // Only the new incarnation is there to reply.
     for (const char *Asked : {"life-1", "life-0"})
       if (Port.Id == Asked)
         Restarted.onHoldReply({Asked},
@@ -168,8 +171,10 @@
   }
 }
 
-// A life that drains does so to its end, and is what it first announced.
-TEST(WorkerSessionTest, ALateAnnouncementOfThePresentLifeChangesNothing) {
+// An incarnation that drains keeps draining until it ends, and an old
+// announcement does not change its room.
+TEST(WorkerSessionTest,
+     ALateAnnouncementOfTheCurrentIncarnationChangesNothing) {
   attach();
   WorkerProfile Late = Profile;
   Profile.Draining = true;
@@ -181,9 +186,10 @@
   LONGS_EQUAL(1, Events.Attached);
 }
 
-// A call without a reply does not prove that the present life has ended: runs
-// that were told as ended then would be begun elsewhere while they go on.
-TEST(WorkerSessionTest, SilenceAloneEndsNoRunsForAnAnnouncement) {
+// A call without a reply does not prove that the current incarnation has ended.
+// If its runs were reported as ended, their tasks would be started elsewhere
+// while they continue here.
+TEST(WorkerSessionTest, SilenceAfterAnAnnouncementEndsNoRuns) {
   attach();
   Session.start(Run, "spec", Now);
   Session.onStartReply({"life-1"}, Run, answered(), Now);
@@ -195,11 +201,12 @@
   Session.onHoldReply({"life-1"}, answered(WorkerRefusal::Unhealthy), Now);
   STRCMP_EQUAL("life-1", Port.Id.c_str());
   LONGS_EQUAL(0, Events.Ends.size());
-  // It has only been slow to reply.
+  // It was only slow to reply.
   pass(Options.HoldRetryInterval);
   Session.onHoldReply({"life-1"}, answered(), Now);
   STRCMP_EQUAL("life-1", Port.Id.c_str());
-  // Silent until its lease must have lapsed, it makes way for the other.
+  // Once it has been silent until its lease must have expired, the other one
+  // takes its place.
   Session.onProfile(Profile, Now);
   for (int I = 0; I < 24; ++I) {
     Session.onHoldReply({"life-1"}, WorkerReply(), Now);
@@ -209,8 +216,8 @@
   LONGS_EQUAL(1, Events.Ends.size());
 }
 
-// The first call to a life is the one that tells whether it is there.
-TEST(WorkerSessionTest, ALifeThatIsNotReadyYetIsAskedToo) {
+// The first call to an incarnation tells whether it is there.
+TEST(WorkerSessionTest, AnIncarnationThatIsNotReadyYetIsProbedToo) {
   Session.onProfile(Profile, Now);
   Profile.Id = "life-0";
   Session.onProfile(Profile, Now);
@@ -219,7 +226,7 @@
   CHECK(Session.isReady());
 }
 
-TEST(WorkerSessionTest, CallsForEndsWaitLessAfterALostCall) {
+TEST(WorkerSessionTest, HoldCallsWaitLessAfterALostCall) {
   attach();
   Session.start(Run, "spec", Now);
   Session.onStartReply({"life-1"}, Run, answered(), Now);
@@ -230,7 +237,7 @@
   Session.onHoldReply({"life-1"}, answered(), Now);
   CHECK(Port.Holds.back().Wait == Options.HoldWaitAfterLoss);
   pass(Options.LossWindow);
-  // One call that waited, and one that renewed the lease meanwhile.
+  // Of these two calls, one waited and one renewed the lease meanwhile.
   Session.onHoldReply({"life-1"}, answered(), Now);
   Session.onHoldReply({"life-1"}, answered(), Now);
   CHECK(Port.Holds.back().Wait == Options.HoldWait);
@@ -245,7 +252,7 @@
   LONGS_EQUAL(1, Port.Stops.size());
   Session.onStopReply({"life-1"}, Run, answered(), Now);
   pass(40ms);
-  // The run may have begun, and a stop takes a while.
+  // The run may have started, and a stop takes time to have an effect.
   LONGS_EQUAL(0, Events.Ends.size());
   pass(100ms);
   LONGS_EQUAL(1, Events.Ends.size());
@@ -264,7 +271,7 @@
   LONGS_EQUAL(0, Events.Ends.size());
 }
 
-TEST(WorkerSessionTest, ALateEndOfAStoppedRunIsTakenAsItWas) {
+TEST(WorkerSessionTest, ALateEndOfAStoppedRunIsReportedAsItWas) {
   attach();
   Session.start(Run, "spec", Now);
   loseStarts();
@@ -287,7 +294,7 @@
   LONGS_EQUAL(1, Events.Ready);
 }
 
-TEST(WorkerSessionTest, ATokenThatIsTooLowIsRaisedUntilItIsTaken) {
+TEST(WorkerSessionTest, ATokenThatIsTooLowIsRaised) {
   Session.onProfile(Profile, Now);
   std::uint64_t First = Port.Holds.back().FencingToken;
   Session.onHoldReply({"life-1"}, answered(WorkerRefusal::Fenced), Now);
@@ -295,17 +302,18 @@
   CHECK(Port.Holds.back().FencingToken > First);
 }
 
-TEST(WorkerSessionTest, ANewLifeOfTheWorkerEndsAllRuns) {
+TEST(WorkerSessionTest, ANewIncarnationEndsAllRuns) {
   attach();
   Session.start(Run, "spec", Now);
   Profile.Id = "life-2";
   Session.onProfile(Profile, Now);
-  // The last one no longer replies, or another replies in its place.
+  // The previous incarnation no longer replies, or another replies in its
+  // place.
   Session.onHoldReply({"life-1"}, answered(WorkerRefusal::OtherIncarnation),
                       Now);
   LONGS_EQUAL(1, Events.Ends.size());
   CHECK(Events.Ends[0] == RunOutcome::Lapsed);
-  // Replies of the last life change nothing.
+  // Replies of the previous incarnation change nothing.
   Session.onStartReply({"life-1"}, Run, answered(WorkerRefusal::NoRoom), Now);
   LONGS_EQUAL(0, Events.Refusals.size());
 }
@@ -318,9 +326,9 @@
               Port.Starts[0].LeaseUntil.count());
 }
 
-TEST(WorkerSessionTest, ARunThatBeginsWhileACallForEndsWaitsKeepsItsLease) {
+TEST(WorkerSessionTest, ARunStartedDuringAHoldCallKeepsItsLease) {
   attach();
-  // The worker may take this call's whole time; it was made with no lease.
+  // The worker may use this call's whole wait; the call carried no lease.
   CHECK_FALSE(Port.Holds.back().LeaseUntil.has_value());
   Session.start(Run, "spec", Now);
   Session.onStartReply({"life-1"}, Run, answered(), Now);
@@ -329,14 +337,14 @@
     pass(20ms);
   LONGS_EQUAL(Before + 1, Port.Holds.size());
   CHECK(Port.Holds.back().LeaseUntil.has_value());
-  // Two calls have come back, and one is made again.
+  // Two calls have returned, and one new call is made.
   Session.onHoldReply({"life-1"}, answered(), Now);
   LONGS_EQUAL(Before + 1, Port.Holds.size());
   Session.onHoldReply({"life-1"}, answered(), Now);
   LONGS_EQUAL(Before + 2, Port.Holds.size());
 }
 
-// Some calls may stay without a reply at a worker that is sound.
+// A healthy worker may leave some calls without a reply.
 TEST(WorkerSessionTest, OneCallWithoutReplyDoesNotMakeAWorkerSilent) {
   attach();
   Session.start(Run, "spec", Now);
@@ -346,7 +354,8 @@
     Session.onHoldReply({"life-1"}, WorkerReply(), Now);
     CHECK(Session.isReady());
     pass(60ms);
-    // The next tells whether the worker hears us, and waits for nothing.
+    // The next call tests whether the worker receives our calls, and does not
+    // wait.
     LONGS_EQUAL(0, Port.Holds.back().Wait.count());
     CHECK_FALSE(Port.Holds.back().LeaseUntil.has_value());
     Session.onHoldReply({"life-1"}, Good, Now);
@@ -375,8 +384,8 @@
   CHECK(Events.Ends[0] == RunOutcome::Lapsed);
 }
 
-// A worker shortens no lease, so that a later and shorter one proves nothing.
-TEST(WorkerSessionTest, RunsLapseOnlyWithTheLongestLeaseThatWasGiven) {
+// A worker never shortens a lease, so a later and shorter one proves nothing.
+TEST(WorkerSessionTest, RunsLapseOnlyWithTheLongestLeaseGranted) {
   attach();
   Session.start(Run, "spec", Now);
   TimePoint Longest = Now.Steady + Options.Lease;
@@ -391,8 +400,8 @@
   LONGS_EQUAL(1, Events.Ends.size());
 }
 
-// It has none before its first start.
-TEST(WorkerSessionTest, ANewLifeOfAWorkerHasNotTheLeaseOfTheLast) {
+// A worker has no lease before its first start.
+TEST(WorkerSessionTest, ANewIncarnationDoesNotInheritTheLease) {
   attach();
   Session.start(Run, "spec", Now);
   Profile.Id = "life-2";
@@ -402,7 +411,7 @@
   CHECK(Session.leaseEnds() == Now.Steady);
 }
 
-TEST(WorkerSessionTest, AConfirmedStopHasTakenEffectAfterItsTime) {
+TEST(WorkerSessionTest, AConfirmedStopHasTakenEffectAfterMaxStopDuration) {
   attach();
   Session.start(Run, "spec", Now);
   Session.stop(Run, Now);
