--- a/agent/lease_keeper.cpp
+++ b/agent/lease_keeper.cpp
@@ -61,7 +61,7 @@
   this->dropExpired(Now);
   // Another role may have the same name on a node and incarnations of its own.
   if (isFromEntry(Message))
-    this->noteIncarnation(From, Now);
+    this->trackIncarnation(From, Now);
   if (Message.has_leased_dispatch()) {
     this->onDispatch(From, Message.leased_dispatch(), Now);
   } else if (Message.has_leased_stop()) {
@@ -121,7 +121,7 @@
     this->startInOfferedRoom(From, Dispatch, Now);
   this->startFitting(Now);
   if (Dispatch.start_or_refuse())
-    this->refuseWaiting(From, Dispatch, Now);
+    this->refuseQueued(From, Dispatch, Now);
 }
 
 void LeaseKeeper::startInOfferedRoom(const PeerRef &From,
@@ -152,9 +152,9 @@
   });
 }
 
-void LeaseKeeper::refuseWaiting(const PeerRef &From,
-                                const peer::LeasedDispatch &Dispatch,
-                                Instant Now) {
+void LeaseKeeper::refuseQueued(const PeerRef &From,
+                               const peer::LeasedDispatch &Dispatch,
+                               Instant Now) {
   for (const peer::LeasedTask &Order : Dispatch.tasks()) {
     TaskId Id{Dispatch.job(), Order.index()};
     auto Known = this->Tasks.find(Id);
@@ -190,12 +190,12 @@
   New.Owner = From;
   New.Attempt = Order.attempt();
   New.Order = Order.order();
-  New.Until = Now.Steady + Left;
+  New.LeaseEnd = Now.Steady + Left;
   New.Spec = Dispatch.spec();
   New.Needs = Dispatch.needs();
   New.Arrived = Now.Steady;
   New.StartBy = Now.Steady + std::chrono::milliseconds(Dispatch.start_by_ms());
-  New.GiveUp = Now.Steady + std::chrono::milliseconds(Dispatch.give_up_ms());
+  New.GiveUpAt = Now.Steady + std::chrono::milliseconds(Dispatch.give_up_ms());
   auto Known = this->Tasks.find(Id);
   // Entries resend a dispatch when its receipt is lost.
   bool Held = Known != this->Tasks.end() &&
@@ -372,7 +372,7 @@
 }
 
 bool LeaseKeeper::outlastsWorkerLease(const Task &TheTask) const {
-  return TheTask.Until + this->Options.StopAllowance >=
+  return TheTask.LeaseEnd + this->Options.StopAllowance >=
          this->Session.leaseEnds();
 }
 
--- a/agent/lease_keeper.h
+++ b/agent/lease_keeper.h
@@ -134,14 +134,17 @@
     Phase State = Phase::Queued;
     PeerRef Owner;
     std::uint32_t Attempt = 0;
+    /// Number of the placement, assigned by the entry.
     std::uint64_t Order = 0;
     std::uint64_t Run = 0;
     /// End of the task's lease.
-    TimePoint Until;
+    TimePoint LeaseEnd;
     std::string Spec;
     peer::TaskNeeds Needs;
+    /// Latest start with which the task still meets its objective.
     TimePoint StartBy;
-    TimePoint GiveUp;
+    /// When the task is rejected if it is still queued.
+    TimePoint GiveUpAt;
     TimePoint Arrived;
     TimePoint Started;
     /// Set if the entry had the run stopped because it made no progress.
@@ -164,7 +167,7 @@
 
   /// Drops the tasks of an entry's earlier incarnation when a message from a
   /// new one arrives.
-  void noteIncarnation(const PeerRef &From, Instant Now);
+  void trackIncarnation(const PeerRef &From, Instant Now);
   /// \returns the remaining time of a lease that counts from \p Stamp, 0 if the
   /// stamp is too old.
   std::chrono::milliseconds leaseFrom(std::uint64_t Stamp, Instant Now) const;
@@ -182,8 +185,8 @@
                           const peer::LeasedDispatch &Dispatch, Instant Now);
   void dequeue(const TaskId &Id);
   /// Rejects those tasks of a dispatch that could not start at once.
-  void refuseWaiting(const PeerRef &From, const peer::LeasedDispatch &Dispatch,
-                     Instant Now);
+  void refuseQueued(const PeerRef &From, const peer::LeasedDispatch &Dispatch,
+                    Instant Now);
   peer::LeasedRefusal refusalFor(const TaskId &Id, bool Fresh) const;
   void onStop(const PeerRef &From, const peer::LeasedStop &Stop, Instant Now);
   void onInterest(const PeerRef &From, const peer::LeasedInterest &Request,
@@ -242,7 +245,7 @@
   /// may have been suspended since the last tick.
   void dropExpired(Instant Now);
   void dropLapsed(Instant Now);
-  void dropLate(Instant Now);
+  void dropOverdue(Instant Now);
   void sweep(Instant Now);
 
   KeeperOptions Options;
@@ -260,7 +263,7 @@
   /// entry.
   struct UpdateBatch {
     PeerRef Entry;
-    TimePoint Until;
+    TimePoint DueAt;
     std::vector<peer::Message> Updates;
   };
   std::map<std::string, UpdateBatch> PendingUpdates;
--- a/agent/lease_keeper_ends.cpp
+++ b/agent/lease_keeper_ends.cpp
@@ -102,7 +102,7 @@
        {"run", Run.Run},
        {"entry", TheTask->Owner.Node},
        {"order", TheTask->Order},
-       {"lease_left_ms", millisBetween(Now.Steady, TheTask->Until)},
+       {"lease_left_ms", millisBetween(Now.Steady, TheTask->LeaseEnd)},
        {"end", runOutcomeName(Outcome)},
        {"waited_ms", millisBetween(TheTask->Arrived, TheTask->Started)},
        {"ran_ms", millisBetween(TheTask->Started, Now.Steady)}});
@@ -275,7 +275,7 @@
 void LeaseKeeper::flushDueUpdates(Instant Now) {
   std::vector<PeerRef> Due;
   for (const auto &[Entry, Held] : this->PendingUpdates)
-    if (Now.Steady >= Held.Until)
+    if (Now.Steady >= Held.DueAt)
       Due.push_back(Held.Entry);
   for (const PeerRef &Entry : Due)
     this->flushUpdates(Entry);
--- a/agent/lease_keeper_leases.cpp
+++ b/agent/lease_keeper_leases.cpp
@@ -6,7 +6,7 @@
 
 namespace yardwheel {
 
-void LeaseKeeper::noteIncarnation(const PeerRef &From, Instant Now) {
+void LeaseKeeper::trackIncarnation(const PeerRef &From, Instant Now) {
   std::uint64_t &LastKnown = this->EntryIncarnations[From.Node];
   bool Restarted = LastKnown != 0 && LastKnown != From.Incarnation;
   LastKnown = From.Incarnation;
@@ -49,7 +49,7 @@
   Heard = std::max(Heard, Until);
   for (auto &[Id, Known] : this->Tasks)
     if (Known.Owner.Node == From.Node && Orders.contains(Known.Order))
-      Known.Until = std::max(Known.Until, Until);
+      Known.LeaseEnd = std::max(Known.LeaseEnd, Until);
 }
 
 TimePoint LeaseKeeper::maxWorkerLeaseEnd(Instant Now) const {
@@ -60,7 +60,7 @@
         Known.State == Phase::Stopping &&
         this->Session.hasStopped({Id.Job, Id.Index, Known.Run}, Now);
     if (!HasStopped)
-      First = std::min(First, Known.Until + this->Options.StopAllowance);
+      First = std::min(First, Known.LeaseEnd + this->Options.StopAllowance);
   }
   return First;
 }
@@ -77,7 +77,7 @@
 
 void LeaseKeeper::dropExpired(Instant Now) {
   this->dropLapsed(Now);
-  this->dropLate(Now);
+  this->dropOverdue(Now);
 }
 
 void LeaseKeeper::dropLapsed(Instant Now) {
@@ -85,7 +85,7 @@
                 [&](const auto &Item) { return Now.Steady >= Item.second; });
   std::map<std::string, std::vector<TaskId>> Lapsed;
   for (const auto &[Id, Known] : this->Tasks)
-    if (Known.State != Phase::Stopping && Now.Steady >= Known.Until)
+    if (Known.State != Phase::Stopping && Now.Steady >= Known.LeaseEnd)
       Lapsed[Known.Owner.Node].push_back(Id);
   for (const auto &[Entry, Concerned] : Lapsed) {
     ++this->Counters.LeasesLapsed;
@@ -100,10 +100,10 @@
   }
 }
 
-void LeaseKeeper::dropLate(Instant Now) {
+void LeaseKeeper::dropOverdue(Instant Now) {
   std::vector<TaskId> Late;
   for (const TaskId &Id : this->Queue)
-    if (Now.Steady >= this->Tasks.at(Id).GiveUp)
+    if (Now.Steady >= this->Tasks.at(Id).GiveUpAt)
       Late.push_back(Id);
   for (const TaskId &Id : Late)
     this->dropTask(Id, peer::REFUSAL_TOO_LATE,
--- a/agent/upstream_client.cpp
+++ b/agent/upstream_client.cpp
@@ -56,7 +56,9 @@
 void UpstreamClient::begin(std::shared_ptr<Transfer> Next) {
   CURL *Handle = curl_easy_init();
   if (Handle == nullptr) {
-    this->OnEnd(Next->Task, {TaskEndKind::NeverStarted, "", "no handle", {}});
+    this->OnEnd(
+        Next->Task,
+        {TaskEndKind::NeverStarted, "", "libcurl cannot create a handle", {}});
     return;
   }
   Next->Started = BootClock::now();
--- a/agent/worker_session.cpp
+++ b/agent/worker_session.cpp
@@ -202,14 +202,14 @@
   auto Found = this->Runs.find(Key);
   if (Found == this->Runs.end())
     return;
-  // The worker lists a run that did start as ended before its room is free.
+  // If the run did start, its room is freed only when the worker lists its end.
   Run &Known = Found->second;
   Known.NextStop = Now.Steady + this->Options.ConfirmedStopRetryInterval;
   Known.StopConfirmedAt = std::min(Known.StopConfirmedAt, Now.Steady);
   // It does not list a run that never started, and an end that could not be
   // parsed may never be listed in a readable form.
-  bool NotTold = Known.StartsLost > 0 || Known.EndUnreadable;
-  if (NotTold && Known.StoppedAt == TimePoint::max())
+  bool IsNotListed = Known.StartsLost > 0 || Known.EndUnreadable;
+  if (IsNotListed && Known.StoppedAt == TimePoint::max())
     Known.StoppedAt = Now.Steady + this->Options.MaxStopDuration;
 }
 
@@ -407,7 +407,7 @@
   this->OrphanedRuns.clear();
   for (const RunKey &Key : Reply.Running)
     this->sendStop(Key, this->OrphanedRuns[Key], Now);
-  bool Unknown = this->mayHaveUnknownRuns(Reply, Now);
+  bool Unknown = this->mayHaveUnreadableRuns(Reply, Now);
   if (Unknown || !this->OrphanedRuns.empty())
     return;
   this->settleInheritedRuns(Now);
@@ -418,7 +418,8 @@
     this->Events.onWorkerReady(Now);
 }
 
-bool WorkerSession::mayHaveUnknownRuns(const WorkerReply &Reply, Instant Now) {
+bool WorkerSession::mayHaveUnreadableRuns(const WorkerReply &Reply,
+                                          Instant Now) {
   if (Reply.UnreadableRunning == 0)
     return false;
   if (!this->UnreadableRunningSince)
--- a/agent/worker_session.h
+++ b/agent/worker_session.h
@@ -230,7 +230,7 @@
   void logUnreadableRows(const WorkerReply &Reply, Instant Now);
   void stopOrphanedRuns(const WorkerReply &Reply, Instant Now);
   /// Whether runs from unreadable rows may still be active on the worker.
-  bool mayHaveUnknownRuns(const WorkerReply &Reply, Instant Now);
+  bool mayHaveUnreadableRuns(const WorkerReply &Reply, Instant Now);
   void end(const RunKey &Key, RunOutcome Outcome, Instant Now);
   void refuse(const RunKey &Key, WorkerRefusal Cause, Instant Now);
 
--- a/agent/worker_session_incarnations.cpp
+++ b/agent/worker_session_incarnations.cpp
@@ -87,10 +87,10 @@
 }
 
 void WorkerSession::replaceIncarnation(const WorkerReply &Reply, Instant Now) {
-  WorkerIncarnation Present{this->Profile->Id, Reply.StartUnixMs};
+  WorkerIncarnation Current{this->Profile->Id, Reply.StartUnixMs};
   auto Known =
       std::ranges::find_if(this->Candidates, [&](const WorkerProfile &Each) {
-        return isSameIncarnation(Each.workerIncarnation(), Present);
+        return isSameIncarnation(Each.workerIncarnation(), Current);
       });
   bool HasAnnounced = Known != this->Candidates.end();
   // Until it announces itself, it is reached at the known address.
@@ -105,25 +105,25 @@
   // Other incarnations with this id that were announced meanwhile are not there
   // either.
   std::erase_if(this->Candidates, [&](const WorkerProfile &Each) {
-    return Each.Id == Present.Id;
+    return Each.Id == Current.Id;
   });
   this->attach(Next, Now);
   this->Announced = HasAnnounced;
 }
 
 void WorkerSession::resolveCandidates(const WorkerReply &Reply, Instant Now) {
-  bool Lives = Reply.Answered && Reply.Refusal == WorkerRefusal::None;
+  bool IsAlive = Reply.Answered && Reply.Refusal == WorkerRefusal::None;
   bool Replaced =
       Reply.Answered && Reply.Refusal == WorkerRefusal::OtherIncarnation;
   // Where another id has replied, no incarnation of the current id is left.
   // Without a reply, it is unknown which incarnation with this id is there.
-  auto IsOut = [&](const WorkerProfile &Each) {
+  auto HasCurrentId = [&](const WorkerProfile &Each) {
     return Each.Id == this->Profile->Id;
   };
   if (Replaced)
-    std::erase_if(this->Candidates, IsOut);
-  auto Next = std::ranges::find_if_not(this->Candidates, IsOut);
-  if (Lives) {
+    std::erase_if(this->Candidates, HasCurrentId);
+  auto Next = std::ranges::find_if_not(this->Candidates, HasCurrentId);
+  if (IsAlive) {
     for (const WorkerProfile &Late : this->Candidates)
       this->Log.decision(
           "announcement_ignored",
@@ -203,9 +203,9 @@
 }
 
 void WorkerSession::settleInheritedRuns(Instant Now) {
-  std::map<RunKey, Run> Over;
-  std::swap(Over, this->InheritedRuns);
-  for (const auto &[Key, Known] : Over) {
+  std::map<RunKey, Run> Settled;
+  std::swap(Settled, this->InheritedRuns);
+  for (const auto &[Key, Known] : Settled) {
     // A start that the previous incarnation had not listed, or that was sent
     // again, may have been executed by the current one, and its end may have
     // been acknowledged unread.
--- a/tests/agent/keeper_fixture.h
+++ b/tests/agent/keeper_fixture.h
@@ -113,12 +113,12 @@
   peer::Message interest(const std::string &Job, std::uint32_t Tasks,
                          std::int32_t StartByMs) {
     peer::Message Message;
-    peer::LeasedInterest *Told = Message.mutable_leased_interest();
-    Told->set_job(Job);
-    Told->set_agent_incarnation(AgentIncarnation);
-    Told->mutable_needs()->set_cpu_milli(1000);
-    Told->set_tasks(Tasks);
-    Told->set_start_by_ms(StartByMs);
+    peer::LeasedInterest *Interest = Message.mutable_leased_interest();
+    Interest->set_job(Job);
+    Interest->set_agent_incarnation(AgentIncarnation);
+    Interest->mutable_needs()->set_cpu_milli(1000);
+    Interest->set_tasks(Tasks);
+    Interest->set_start_by_ms(StartByMs);
     return Message;
   }
   peer::Message decline(std::uint64_t Offer) {
--- a/tests/agent/lease_keeper_test.cpp
+++ b/tests/agent/lease_keeper_test.cpp
@@ -198,10 +198,10 @@
     std::size_t Starts = Row.Leaves ? 0 : 1;
     if (Row.Ends)
       end(Keeper, 0, Row.Outcome);
-    std::size_t Told = Sink.Updates.size();
+    std::size_t UpdatesBefore = Sink.Updates.size();
     Keeper.onMessage(EntryA, Order, Now);
     LONGS_EQUAL_TEXT(Starts, Port.Starts.size(), Row.Name);
-    LONGS_EQUAL_TEXT(Told, Sink.Updates.size(), Row.Name);
+    LONGS_EQUAL_TEXT(UpdatesBefore, Sink.Updates.size(), Row.Name);
   }
 }
 
--- a/tests/agent/worker_incarnation_test.cpp
+++ b/tests/agent/worker_incarnation_test.cpp
@@ -131,9 +131,9 @@
 TEST(WorkerIncarnationTest, EndsAreNumberedAnewInEachIncarnation) {
   attachFirst();
   startRun(Run);
-  WorkerReply Told = replyOf(FirstBorn);
-  Told.Ended.push_back({57, Run, RunOutcome::Done});
-  Session.onHoldReply(First, Told, Now);
+  WorkerReply Reported = replyOf(FirstBorn);
+  Reported.Ended.push_back({57, Run, RunOutcome::Done});
+  Session.onHoldReply(First, Reported, Now);
   LONGS_EQUAL(57, Port.Holds.back().AcknowledgedEnd);
   replaceFirst();
   LONGS_EQUAL(0, Port.Holds.back().AcknowledgedEnd);
--- a/tests/agent/worker_room_test.cpp
+++ b/tests/agent/worker_room_test.cpp
@@ -66,12 +66,12 @@
   }
   void askForOffer(const std::string &Job, std::uint32_t Tasks) {
     peer::Message Message;
-    peer::LeasedInterest *Told = Message.mutable_leased_interest();
-    Told->set_job(Job);
-    Told->set_agent_incarnation(AgentIncarnation);
-    Told->mutable_needs()->set_cpu_milli(Core);
-    Told->set_tasks(Tasks);
-    Told->set_start_by_ms(500);
+    peer::LeasedInterest *Interest = Message.mutable_leased_interest();
+    Interest->set_job(Job);
+    Interest->set_agent_incarnation(AgentIncarnation);
+    Interest->mutable_needs()->set_cpu_milli(Core);
+    Interest->set_tasks(Tasks);
+    Interest->set_start_by_ms(500);
     this->Keeper.onMessage(Entry, Message, this->Now);
   }
   void endFirst() {
@@ -135,74 +135,74 @@
       {"to nothing", {{2, 0}}, 0},
       {"and back", {{2, 0}, {3, 4}}, 4}};
   for (const Row &Row : Rows) {
-    RoomFixture Bench;
+    RoomFixture Fixture;
     for (const Announcement &Said : Row.Announcements)
-      Bench.announce(Said.Sequence, Said.Cores);
-    LONGS_EQUAL_TEXT(Row.Cores * Core, Bench.load().room().cpu_milli(),
+      Fixture.announce(Said.Sequence, Said.Cores);
+    LONGS_EQUAL_TEXT(Row.Cores * Core, Fixture.load().room().cpu_milli(),
                      Row.Name);
-    Bench.dispatch("job", 10);
-    LONGS_EQUAL_TEXT(Row.Cores, Bench.running(), Row.Name);
+    Fixture.dispatch("job", 10);
+    LONGS_EQUAL_TEXT(Row.Cores, Fixture.running(), Row.Name);
   }
 }
 
 TEST(WorkerRoomTest, RunsContinueAndNothingStartsUntilItFits) {
-  RoomFixture Bench;
-  Bench.dispatch("running", 4);
-  Bench.announce(2, 2);
-  LONGS_EQUAL(0, Bench.Port.Stops.size());
-  Bench.dispatch("next", 1);
-  Bench.endFirst();
-  Bench.endFirst();
-  LONGS_EQUAL(4, Bench.Port.Starts.size());
-  Bench.endFirst();
-  LONGS_EQUAL(5, Bench.Port.Starts.size());
+  RoomFixture Fixture;
+  Fixture.dispatch("running", 4);
+  Fixture.announce(2, 2);
+  LONGS_EQUAL(0, Fixture.Port.Stops.size());
+  Fixture.dispatch("next", 1);
+  Fixture.endFirst();
+  Fixture.endFirst();
+  LONGS_EQUAL(4, Fixture.Port.Starts.size());
+  Fixture.endFirst();
+  LONGS_EQUAL(5, Fixture.Port.Starts.size());
 }
 
 TEST(WorkerRoomTest, QueuedTasksAreRejectedAsNotStarted) {
-  RoomFixture Bench;
-  Bench.dispatch("running", 4);
-  Bench.dispatch("waits", 3);
-  Bench.announce(2, 2);
-  LONGS_EQUAL(3, Bench.refusedBusy());
-  LONGS_EQUAL(4, Bench.Port.Starts.size());
+  RoomFixture Fixture;
+  Fixture.dispatch("running", 4);
+  Fixture.dispatch("waits", 3);
+  Fixture.announce(2, 2);
+  LONGS_EQUAL(3, Fixture.refusedBusy());
+  LONGS_EQUAL(4, Fixture.Port.Starts.size());
 }
 
 // Otherwise the task would block the head of the queue forever.
 TEST(WorkerRoomTest, ATaskLargerThanTheRoomIsRefusedAndBlocksNoOthers) {
-  RoomFixture Bench;
-  Bench.dispatch("large", 1, 0, /*Cores=*/3);
-  Bench.dispatch("waits", 1, 0, /*Cores=*/3);
-  Bench.endFirst();
-  LONGS_EQUAL(2, Bench.Port.Starts.size());
-  Bench.dispatch("waits on", 1, 0, /*Cores=*/3);
-  Bench.announce(2, 3);
-  LONGS_EQUAL(0, Bench.refusedBusy());
-  Bench.announce(3, 2);
-  LONGS_EQUAL(1, Bench.refusedBusy());
-  Bench.endFirst();
-  Bench.dispatch("too large", 1, 0, /*Cores=*/3);
-  LONGS_EQUAL(2, Bench.refusedBusy());
-  Bench.dispatch("small", 2);
-  LONGS_EQUAL(4, Bench.Port.Starts.size());
+  RoomFixture Fixture;
+  Fixture.dispatch("large", 1, 0, /*Cores=*/3);
+  Fixture.dispatch("waits", 1, 0, /*Cores=*/3);
+  Fixture.endFirst();
+  LONGS_EQUAL(2, Fixture.Port.Starts.size());
+  Fixture.dispatch("waits on", 1, 0, /*Cores=*/3);
+  Fixture.announce(2, 3);
+  LONGS_EQUAL(0, Fixture.refusedBusy());
+  Fixture.announce(3, 2);
+  LONGS_EQUAL(1, Fixture.refusedBusy());
+  Fixture.endFirst();
+  Fixture.dispatch("too large", 1, 0, /*Cores=*/3);
+  LONGS_EQUAL(2, Fixture.refusedBusy());
+  Fixture.dispatch("small", 2);
+  LONGS_EQUAL(4, Fixture.Port.Starts.size());
 }
 
 TEST(WorkerRoomTest, AnOfferOfRoomThatIsGoneStartsNothing) {
-  RoomFixture Bench;
-  Bench.dispatch("running", 2);
-  Bench.askForOffer("offered", 2);
-  LONGS_EQUAL(1, Bench.Sink.Offers.size());
-  Bench.announce(2, 3);
-  Bench.dispatch("offered", 2, Bench.Sink.Offers.front().offer());
-  LONGS_EQUAL(3, Bench.Port.Starts.size());
-  LONGS_EQUAL(1, Bench.refusedBusy());
+  RoomFixture Fixture;
+  Fixture.dispatch("running", 2);
+  Fixture.askForOffer("offered", 2);
+  LONGS_EQUAL(1, Fixture.Sink.Offers.size());
+  Fixture.announce(2, 3);
+  Fixture.dispatch("offered", 2, Fixture.Sink.Offers.front().offer());
+  LONGS_EQUAL(3, Fixture.Port.Starts.size());
+  LONGS_EQUAL(1, Fixture.refusedBusy());
 }
 
 TEST(WorkerRoomTest, AddedRoomIsUsedAtOnce) {
-  RoomFixture Bench;
-  Bench.dispatch("running", 4);
-  Bench.dispatch("waits", 3);
-  Bench.announce(2, 6);
-  LONGS_EQUAL(6, Bench.Port.Starts.size());
+  RoomFixture Fixture;
+  Fixture.dispatch("running", 4);
+  Fixture.dispatch("waits", 3);
+  Fixture.announce(2, 6);
+  LONGS_EQUAL(6, Fixture.Port.Starts.size());
 }
 
 // An entry learns the room from the next load. Neither an older load nor the
--- a/tests/agent/worker_session_test.cpp
+++ b/tests/agent/worker_session_test.cpp
@@ -26,7 +26,7 @@
   WorkerProfile Profile;
 
   void setup() override {
-    Profile.Id = "life-1";
+    Profile.Id = "worker-1";
     Profile.Clock = WorkerTime(5000);
     Profile.Room.set_cpu_milli(16000);
   }
@@ -37,12 +37,12 @@
   }
   void attach() {
     Session.onProfile(Profile, Now);
-    Session.onHoldReply({"life-1"}, answered(), Now);
+    Session.onHoldReply({"worker-1"}, answered(), Now);
   }
   /// Leaves all attempts of a start without a reply.
   void loseStarts() {
     for (std::uint32_t I = 0; I < Options.MaxStartAttempts; ++I)
-      Session.onStartReply({"life-1"}, Run, WorkerReply(), Now);
+      Session.onStartReply({"worker-1"}, Run, WorkerReply(), Now);
   }
 };
 
@@ -52,13 +52,13 @@
   attach();
   Session.start(Run, "spec", Now);
   pass(50ms);
-  Session.onStartReply({"life-1"}, Run, WorkerReply(), Now);
+  Session.onStartReply({"worker-1"}, Run, WorkerReply(), Now);
   LONGS_EQUAL(0, Port.Stops.size());
   LONGS_EQUAL(2, Port.Starts.size());
   CHECK(Port.Starts[0].Run == Port.Starts[1].Run);
   STRCMP_EQUAL("spec", Port.Starts[1].Spec.c_str());
   CHECK(Port.Starts[1].LeaseUntil > Port.Starts[0].LeaseUntil);
-  Session.onStartReply({"life-1"}, Run, answered(), Now);
+  Session.onStartReply({"worker-1"}, Run, answered(), Now);
   pass(200ms);
   LONGS_EQUAL(0, Port.Stops.size());
   LONGS_EQUAL(0, Events.Ends.size());
@@ -74,16 +74,16 @@
   for (WorkerRefusal Cause : Rows) {
     ++Run.Run;
     Session.start(Run, "spec", Now);
-    Session.onStartReply({"life-1"}, Run, WorkerReply(), Now);
-    Session.onStartReply({"life-1"}, Run, answered(Cause), Now);
+    Session.onStartReply({"worker-1"}, Run, WorkerReply(), Now);
+    Session.onStartReply({"worker-1"}, Run, answered(Cause), Now);
     LONGS_EQUAL(0, Events.Refusals.size());
     LONGS_EQUAL(++Stops, Port.Stops.size());
-    Session.onStopReply({"life-1"}, Run, answered(), Now);
+    Session.onStopReply({"worker-1"}, Run, answered(), Now);
   }
   // One of them had started and is done.
   WorkerReply Held = answered();
   Held.Ended.push_back({1, Run, RunOutcome::Done});
-  Session.onHoldReply({"life-1"}, Held, Now);
+  Session.onHoldReply({"worker-1"}, Held, Now);
   LONGS_EQUAL(1, Events.Ends.size());
   CHECK(Events.Ends[0] == RunOutcome::Done);
   pass(150ms);
@@ -94,7 +94,7 @@
   attach();
   Session.start(Run, "spec", Now);
   Session.stop(Run, Now);
-  Session.onStartReply({"life-1"}, Run, WorkerReply(), Now);
+  Session.onStartReply({"worker-1"}, Run, WorkerReply(), Now);
   LONGS_EQUAL(1, Port.Starts.size());
 }
 
@@ -108,14 +108,14 @@
     const char *Expected;
   };
   const Row Rows[] = {
-      {"it replies", true, answered(), "life-1"},
+      {"it replies", true, answered(), "worker-1"},
       {"another is there", true, answered(WorkerRefusal::OtherIncarnation),
-       "life-2"},
-      {"silence", true, WorkerReply(), "life-2"},
-      {"nobody is there", true, answered(WorkerRefusal::Unhealthy), "life-2"},
+       "worker-2"},
+      {"silence", true, WorkerReply(), "worker-2"},
+      {"nobody is there", true, answered(WorkerRefusal::Unhealthy), "worker-2"},
       {"nobody, and no runs", false, answered(WorkerRefusal::Unhealthy),
-       "life-3"},
-      {"silence, and no runs", false, WorkerReply(), "life-4"},
+       "worker-3"},
+      {"silence, and no runs", false, WorkerReply(), "worker-4"},
   };
   attach();
   for (const Row &Row : Rows) {
@@ -129,7 +129,7 @@
     std::size_t Alive = Session.runs();
     int Attached = Events.Attached;
     bool Moves = Row.Expected != Present;
-    Profile.Id = Moves ? Row.Expected : "life-0";
+    Profile.Id = Moves ? Row.Expected : "worker-0";
     Session.onProfile(Profile, Now);
     LONGS_EQUAL_TEXT(0, Port.Holds.back().Wait.count(), Row.Name);
     STRCMP_EQUAL_TEXT(Present.c_str(), Port.Id.c_str(), Row.Name);
@@ -153,21 +153,21 @@
 TEST(WorkerSessionTest, ALateAnnouncementHidesNoNewIncarnation) {
   using Pair = std::pair<const char *, const char *>;
   for (auto [First, Second] :
-       {Pair{"life-2", "life-0"}, Pair{"life-0", "life-2"}}) {
+       {Pair{"worker-2", "worker-0"}, Pair{"worker-0", "worker-2"}}) {
     WorkerSession Restarted(Options, Port, Events);
-    for (const char *Id : {"life-1", First, Second}) {
+    for (const char *Id : {"worker-1", First, Second}) {
       Profile.Id = Id;
       Restarted.onProfile(Profile, Now);
     }
     // Only the new incarnation is there to reply.
-    for (const char *Asked : {"life-1", "life-0"})
+    for (const char *Asked : {"worker-1", "worker-0"})
       if (Port.Id == Asked)
         Restarted.onHoldReply({Asked},
                               answered(WorkerRefusal::OtherIncarnation), Now);
-    STRCMP_EQUAL("life-2", Port.Id.c_str());
-    Restarted.onHoldReply({"life-2"}, answered(), Now);
+    STRCMP_EQUAL("worker-2", Port.Id.c_str());
+    Restarted.onHoldReply({"worker-2"}, answered(), Now);
     CHECK(Restarted.isReady());
-    STRCMP_EQUAL("life-2", Port.Id.c_str());
+    STRCMP_EQUAL("worker-2", Port.Id.c_str());
   }
 }
 
@@ -192,54 +192,54 @@
 TEST(WorkerSessionTest, SilenceAfterAnAnnouncementEndsNoRuns) {
   attach();
   Session.start(Run, "spec", Now);
-  Session.onStartReply({"life-1"}, Run, answered(), Now);
-  Session.onHoldReply({"life-1"}, WorkerReply(), Now);
-  Profile.Id = "life-0";
+  Session.onStartReply({"worker-1"}, Run, answered(), Now);
+  Session.onHoldReply({"worker-1"}, WorkerReply(), Now);
+  Profile.Id = "worker-0";
   Session.onProfile(Profile, Now);
-  Session.onHoldReply({"life-1"}, WorkerReply(), Now);
+  Session.onHoldReply({"worker-1"}, WorkerReply(), Now);
   pass(Options.HoldRetryInterval);
-  Session.onHoldReply({"life-1"}, answered(WorkerRefusal::Unhealthy), Now);
-  STRCMP_EQUAL("life-1", Port.Id.c_str());
+  Session.onHoldReply({"worker-1"}, answered(WorkerRefusal::Unhealthy), Now);
+  STRCMP_EQUAL("worker-1", Port.Id.c_str());
   LONGS_EQUAL(0, Events.Ends.size());
   // It was only slow to reply.
   pass(Options.HoldRetryInterval);
-  Session.onHoldReply({"life-1"}, answered(), Now);
-  STRCMP_EQUAL("life-1", Port.Id.c_str());
+  Session.onHoldReply({"worker-1"}, answered(), Now);
+  STRCMP_EQUAL("worker-1", Port.Id.c_str());
   // Once it has been silent until its lease must have expired, the other one
   // takes its place.
   Session.onProfile(Profile, Now);
   for (int I = 0; I < 24; ++I) {
-    Session.onHoldReply({"life-1"}, WorkerReply(), Now);
+    Session.onHoldReply({"worker-1"}, WorkerReply(), Now);
     pass(50ms);
   }
-  STRCMP_EQUAL("life-0", Port.Id.c_str());
+  STRCMP_EQUAL("worker-0", Port.Id.c_str());
   LONGS_EQUAL(1, Events.Ends.size());
 }
 
 // The first call to an incarnation tells whether it is there.
 TEST(WorkerSessionTest, AnIncarnationThatIsNotReadyYetIsProbedToo) {
   Session.onProfile(Profile, Now);
-  Profile.Id = "life-0";
+  Profile.Id = "worker-0";
   Session.onProfile(Profile, Now);
-  Session.onHoldReply({"life-1"}, answered(), Now);
-  STRCMP_EQUAL("life-1", Port.Id.c_str());
+  Session.onHoldReply({"worker-1"}, answered(), Now);
+  STRCMP_EQUAL("worker-1", Port.Id.c_str());
   CHECK(Session.isReady());
 }
 
 TEST(WorkerSessionTest, HoldCallsWaitLessAfterALostCall) {
   attach();
   Session.start(Run, "spec", Now);
-  Session.onStartReply({"life-1"}, Run, answered(), Now);
-  Session.onHoldReply({"life-1"}, answered(), Now);
+  Session.onStartReply({"worker-1"}, Run, answered(), Now);
+  Session.onHoldReply({"worker-1"}, answered(), Now);
   CHECK(Port.Holds.back().Wait == Options.HoldWait);
-  Session.onHoldReply({"life-1"}, WorkerReply(), Now);
+  Session.onHoldReply({"worker-1"}, WorkerReply(), Now);
   pass(Options.HoldRetryInterval);
-  Session.onHoldReply({"life-1"}, answered(), Now);
+  Session.onHoldReply({"worker-1"}, answered(), Now);
   CHECK(Port.Holds.back().Wait == Options.HoldWaitAfterLoss);
   pass(Options.LossWindow);
   // Of these two calls, one waited and one renewed the lease meanwhile.
-  Session.onHoldReply({"life-1"}, answered(), Now);
-  Session.onHoldReply({"life-1"}, answered(), Now);
+  Session.onHoldReply({"worker-1"}, answered(), Now);
+  Session.onHoldReply({"worker-1"}, answered(), Now);
   CHECK(Port.Holds.back().Wait == Options.HoldWait);
 }
 
@@ -250,7 +250,7 @@
   loseStarts();
   LONGS_EQUAL(Options.MaxStartAttempts, Port.Starts.size());
   LONGS_EQUAL(1, Port.Stops.size());
-  Session.onStopReply({"life-1"}, Run, answered(), Now);
+  Session.onStopReply({"worker-1"}, Run, answered(), Now);
   pass(40ms);
   // The run may have started, and a stop takes time to have an effect.
   LONGS_EQUAL(0, Events.Ends.size());
@@ -264,7 +264,7 @@
   Session.start(Run, "spec", Now);
   loseStarts();
   for (int I = 0; I < 3; ++I) {
-    Session.onStopReply({"life-1"}, Run, WorkerReply(), Now);
+    Session.onStopReply({"worker-1"}, Run, WorkerReply(), Now);
     pass(100ms);
   }
   LONGS_EQUAL(4, Port.Stops.size());
@@ -277,7 +277,7 @@
   loseStarts();
   WorkerReply Held = answered();
   Held.Ended.push_back({1, Run, RunOutcome::Done});
-  Session.onHoldReply({"life-1"}, Held, Now);
+  Session.onHoldReply({"worker-1"}, Held, Now);
   LONGS_EQUAL(1, Events.Ends.size());
   CHECK(Events.Ends[0] == RunOutcome::Done);
   LONGS_EQUAL(1, Port.Holds.back().AcknowledgedEnd);
@@ -287,17 +287,17 @@
   Session.onProfile(Profile, Now);
   WorkerReply Held = answered();
   Held.Running.push_back(Run);
-  Session.onHoldReply({"life-1"}, Held, Now);
+  Session.onHoldReply({"worker-1"}, Held, Now);
   LONGS_EQUAL(0, Events.Ready);
   LONGS_EQUAL(1, Port.Stops.size());
-  Session.onHoldReply({"life-1"}, answered(), Now);
+  Session.onHoldReply({"worker-1"}, answered(), Now);
   LONGS_EQUAL(1, Events.Ready);
 }
 
 TEST(WorkerSessionTest, ATokenThatIsTooLowIsRaised) {
   Session.onProfile(Profile, Now);
   std::uint64_t First = Port.Holds.back().FencingToken;
-  Session.onHoldReply({"life-1"}, answered(WorkerRefusal::Fenced), Now);
+  Session.onHoldReply({"worker-1"}, answered(WorkerRefusal::Fenced), Now);
   pass(50ms);
   CHECK(Port.Holds.back().FencingToken > First);
 }
@@ -305,16 +305,16 @@
 TEST(WorkerSessionTest, ANewIncarnationEndsAllRuns) {
   attach();
   Session.start(Run, "spec", Now);
-  Profile.Id = "life-2";
+  Profile.Id = "worker-2";
   Session.onProfile(Profile, Now);
   // The previous incarnation no longer replies, or another replies in its
   // place.
-  Session.onHoldReply({"life-1"}, answered(WorkerRefusal::OtherIncarnation),
+  Session.onHoldReply({"worker-1"}, answered(WorkerRefusal::OtherIncarnation),
                       Now);
   LONGS_EQUAL(1, Events.Ends.size());
   CHECK(Events.Ends[0] == RunOutcome::Lapsed);
   // Replies of the previous incarnation change nothing.
-  Session.onStartReply({"life-1"}, Run, answered(WorkerRefusal::NoRoom), Now);
+  Session.onStartReply({"worker-1"}, Run, answered(WorkerRefusal::NoRoom), Now);
   LONGS_EQUAL(0, Events.Refusals.size());
 }
 
@@ -331,16 +331,16 @@
   // The worker may use this call's whole wait; the call carried no lease.
   CHECK_FALSE(Port.Holds.back().LeaseUntil.has_value());
   Session.start(Run, "spec", Now);
-  Session.onStartReply({"life-1"}, Run, answered(), Now);
+  Session.onStartReply({"worker-1"}, Run, answered(), Now);
   std::size_t Before = Port.Holds.size();
   for (int I = 0; I < 25; ++I)
     pass(20ms);
   LONGS_EQUAL(Before + 1, Port.Holds.size());
   CHECK(Port.Holds.back().LeaseUntil.has_value());
   // Two calls have returned, and one new call is made.
-  Session.onHoldReply({"life-1"}, answered(), Now);
+  Session.onHoldReply({"worker-1"}, answered(), Now);
   LONGS_EQUAL(Before + 1, Port.Holds.size());
-  Session.onHoldReply({"life-1"}, answered(), Now);
+  Session.onHoldReply({"worker-1"}, answered(), Now);
   LONGS_EQUAL(Before + 2, Port.Holds.size());
 }
 
@@ -351,19 +351,19 @@
   WorkerReply Good = answered();
   Good.Clock = WorkerTime(6000);
   for (int I = 0; I < 6; ++I) {
-    Session.onHoldReply({"life-1"}, WorkerReply(), Now);
+    Session.onHoldReply({"worker-1"}, WorkerReply(), Now);
     CHECK(Session.isReady());
     pass(60ms);
     // The next call tests whether the worker receives our calls, and does not
     // wait.
     LONGS_EQUAL(0, Port.Holds.back().Wait.count());
     CHECK_FALSE(Port.Holds.back().LeaseUntil.has_value());
-    Session.onHoldReply({"life-1"}, Good, Now);
+    Session.onHoldReply({"worker-1"}, Good, Now);
     CHECK(Port.Holds.back().LeaseUntil.has_value());
   }
   LONGS_EQUAL(0, Events.Silent);
   for (int I = 0; I < 20; ++I) {
-    Session.onHoldReply({"life-1"}, WorkerReply(), Now);
+    Session.onHoldReply({"worker-1"}, WorkerReply(), Now);
     pass(60ms);
   }
   LONGS_EQUAL(1, Events.Silent);
@@ -373,9 +373,9 @@
 TEST(WorkerSessionTest, RunsOfASilentWorkerEndWhenItsLeaseMustHaveLapsed) {
   attach();
   Session.start(Run, "spec", Now);
-  Session.onStartReply({"life-1"}, Run, answered(), Now);
+  Session.onStartReply({"worker-1"}, Run, answered(), Now);
   for (std::chrono::milliseconds Time = 0ms; Time < 900ms; Time += 50ms) {
-    Session.onHoldReply({"life-1"}, WorkerReply(), Now);
+    Session.onHoldReply({"worker-1"}, WorkerReply(), Now);
     LONGS_EQUAL(0, Events.Ends.size());
     pass(50ms);
   }
@@ -391,9 +391,9 @@
   TimePoint Longest = Now.Steady + Options.Lease;
   Events.EndBy = Now.Steady + 200ms;
   pass(20ms);
-  Session.onHoldReply({"life-1"}, answered(), Now);
+  Session.onHoldReply({"worker-1"}, answered(), Now);
   CHECK(Session.leaseEnds() == Longest);
-  Session.onHoldReply({"life-1"}, WorkerReply(), Now);
+  Session.onHoldReply({"worker-1"}, WorkerReply(), Now);
   pass(600ms);
   LONGS_EQUAL(0, Events.Ends.size());
   pass(500ms);
@@ -404,9 +404,9 @@
 TEST(WorkerSessionTest, ANewIncarnationDoesNotInheritTheLease) {
   attach();
   Session.start(Run, "spec", Now);
-  Profile.Id = "life-2";
+  Profile.Id = "worker-2";
   Session.onProfile(Profile, Now);
-  Session.onHoldReply({"life-1"}, answered(WorkerRefusal::OtherIncarnation),
+  Session.onHoldReply({"worker-1"}, answered(WorkerRefusal::OtherIncarnation),
                       Now);
   CHECK(Session.leaseEnds() == Now.Steady);
 }
@@ -417,7 +417,7 @@
   Session.stop(Run, Now);
   pass(Options.MaxStopDuration);
   CHECK_FALSE(Session.hasStopped(Run, Now));
-  Session.onStopReply({"life-1"}, Run, answered(), Now);
+  Session.onStopReply({"worker-1"}, Run, answered(), Now);
   CHECK_FALSE(Session.hasStopped(Run, Now));
   pass(Options.MaxStopDuration);
   CHECK(Session.hasStopped(Run, Now));
