--- a/agent/agent_core.cpp
+++ b/agent/agent_core.cpp
@@ -239,9 +239,9 @@
                                 const peer::TaskAttempt &Asked, Instant Now) {
   // If the task had been accepted since that stamp, it would still be
   // remembered.
-  std::uint64_t Memory =
+  std::uint64_t Retention =
       static_cast<std::uint64_t>(this->recordRetention().count());
-  if (Asked.freshness() + Memory >= this->stamp(Now))
+  if (Asked.freshness() + Retention >= this->stamp(Now))
     this->refuse(Key, From, Asked.attempt(), Withdrawn, Now);
   else
     this->sendEvent(Key, From, Asked.attempt(), peer::TASK_CANNOT_KNOW,
--- a/tests/agent/placement_lease_test.cpp
+++ b/tests/agent/placement_lease_test.cpp
@@ -139,7 +139,8 @@
     std::chrono::milliseconds StampAge;
     std::size_t Starts;
   };
-  const Row Rows[] = {{"a new dispatch", 5ms, 2}, {"held up", 390ms, 1}};
+  const Row Rows[] = {{"a new dispatch", 5ms, 2},
+                      {"a delayed dispatch", 390ms, 1}};
   for (const Row &Row : Rows) {
     Port.Starts.clear();
     LeaseKeeper Other(optionsWith(true), Sink, Port);
--- a/tests/agent/worker_incarnation_test.cpp
+++ b/tests/agent/worker_incarnation_test.cpp
@@ -13,10 +13,10 @@
 namespace {
 
 const char *const Id = "worker";
-constexpr std::uint64_t FirstBorn = 1800000000000;
-constexpr std::uint64_t SecondBorn = FirstBorn + 5000;
-const WorkerIncarnation First{Id, FirstBorn};
-const WorkerIncarnation Second{Id, SecondBorn};
+constexpr std::uint64_t FirstStartMs = 1800000000000;
+constexpr std::uint64_t SecondStartMs = FirstStartMs + 5000;
+const WorkerIncarnation First{Id, FirstStartMs};
+const WorkerIncarnation Second{Id, SecondStartMs};
 
 WorkerReply replyOf(std::optional<std::uint64_t> StartUnixMs,
                     WorkerRefusal Refusal = WorkerRefusal::None) {
@@ -45,7 +45,7 @@
   RecordingEvents Events;
   SessionOptions Options;
   WorkerSession Session{SessionOptions(), Port, Events};
-  Instant Now{TimePoint(1h), fromUnixMillis(FirstBorn + 100000)};
+  Instant Now{TimePoint(1h), fromUnixMillis(FirstStartMs + 100000)};
   RunKey Run{"00000000000000aa", 0, 1};
 
   void pass(std::chrono::milliseconds Time) {
@@ -54,8 +54,8 @@
     Session.tick(Now);
   }
   void attachFirst() {
-    Session.onProfile(profileOf(FirstBorn, 50), Now);
-    Session.onHoldReply(First, replyOf(FirstBorn), Now);
+    Session.onProfile(profileOf(FirstStartMs, 50), Now);
+    Session.onHoldReply(First, replyOf(FirstStartMs), Now);
     CHECK(Session.isReady());
   }
   /// Starts a run, whose start the first incarnation confirms.
@@ -64,7 +64,7 @@
     Session.onStartReply(First, Key, replyOf({}), Now);
   }
   void listInFirst(const RunKey &Key) {
-    WorkerReply Held = replyOf(FirstBorn);
+    WorkerReply Held = replyOf(FirstStartMs);
     Held.Running.push_back(Key);
     pass(10ms);
     Session.onHoldReply(First, Held, Now);
@@ -72,27 +72,27 @@
   /// The second incarnation replies to a call meant for the first.
   void replaceFirst() {
     pass(2s);
-    WorkerReply Reply = replyOf(SecondBorn);
+    WorkerReply Reply = replyOf(SecondStartMs);
     Reply.Clock = WorkerTime(700);
     Session.onHoldReply(First, Reply, Now);
   }
   /// The second incarnation replies to its first call and announces itself.
   void settleSecond(const WorkerReply &Reply) {
     Session.onHoldReply(Second, Reply, Now);
-    Session.onProfile(profileOf(SecondBorn, 1), Now);
+    Session.onProfile(profileOf(SecondStartMs, 1), Now);
   }
 };
 
-TEST(WorkerIncarnationTest, ALowerSequenceOfANewLifeIsNotALateWord) {
+TEST(WorkerIncarnationTest, ALowerSequenceOfANewIncarnationIsAccepted) {
   attachFirst();
-  WorkerProfile New = profileOf(SecondBorn, 1);
+  WorkerProfile New = profileOf(SecondStartMs, 1);
   New.Room.set_cpu_milli(8000);
   Session.onProfile(New, Now);
-  Session.onHoldReply(First, replyOf(SecondBorn), Now);
+  Session.onHoldReply(First, replyOf(SecondStartMs), Now);
   LONGS_EQUAL(2, Events.Attached);
-  CHECK(Session.profile().StartUnixMs == SecondBorn);
+  CHECK(Session.profile().StartUnixMs == SecondStartMs);
   LONGS_EQUAL(8000, Session.profile().Room.cpu_milli());
-  Session.onHoldReply(Second, replyOf(SecondBorn), Now);
+  Session.onHoldReply(Second, replyOf(SecondStartMs), Now);
   CHECK(Session.isReady());
 }
 
@@ -100,14 +100,14 @@
 // which incarnation is there instead of comparing their start times.
 TEST(WorkerIncarnationTest,
      ALateAnnouncementOfAnotherIncarnationChangesNothing) {
-  for (std::uint64_t Other : {FirstBorn - 5000, FirstBorn + 5000}) {
+  for (std::uint64_t Other : {FirstStartMs - 5000, FirstStartMs + 5000}) {
     attachFirst();
     WorkerProfile Late = profileOf(Other, 99);
     Late.Draining = true;
     Late.Room.set_cpu_milli(1);
     Session.onProfile(Late, Now);
-    Session.onHoldReply(First, replyOf(FirstBorn), Now);
-    CHECK(Session.profile().StartUnixMs == FirstBorn);
+    Session.onHoldReply(First, replyOf(FirstStartMs), Now);
+    CHECK(Session.profile().StartUnixMs == FirstStartMs);
     CHECK_FALSE(Session.profile().Draining);
     LONGS_EQUAL(16000, Session.profile().Room.cpu_milli());
     LONGS_EQUAL(1, Events.Attached);
@@ -118,11 +118,11 @@
 // one will.
 TEST(WorkerIncarnationTest, SilenceDoesNotDecideBetweenIncarnations) {
   attachFirst();
-  Session.onProfile(profileOf(FirstBorn - 5000, 99), Now);
+  Session.onProfile(profileOf(FirstStartMs - 5000, 99), Now);
   Session.onHoldReply(First, WorkerReply(), Now);
   LONGS_EQUAL(1, Events.Attached);
   pass(Options.HoldRetryInterval);
-  Session.onHoldReply(First, replyOf(FirstBorn), Now);
+  Session.onHoldReply(First, replyOf(FirstStartMs), Now);
   LONGS_EQUAL(1, Events.Attached);
   CHECK(Session.isReady());
 }
@@ -131,16 +131,16 @@
 TEST(WorkerIncarnationTest, EndsAreNumberedAnewInEachIncarnation) {
   attachFirst();
   startRun(Run);
-  WorkerReply Reported = replyOf(FirstBorn);
-  Reported.Ended.push_back({57, Run, RunOutcome::Done});
-  Session.onHoldReply(First, Reported, Now);
+  WorkerReply Report = replyOf(FirstStartMs);
+  Report.Ended.push_back({57, Run, RunOutcome::Done});
+  Session.onHoldReply(First, Report, Now);
   LONGS_EQUAL(57, Port.Holds.back().AcknowledgedEnd);
   replaceFirst();
   LONGS_EQUAL(0, Port.Holds.back().AcknowledgedEnd);
-  settleSecond(replyOf(SecondBorn));
+  settleSecond(replyOf(SecondStartMs));
   Run.Run = 2;
   Session.start(Run, "spec", Now);
-  WorkerReply Next = replyOf(SecondBorn);
+  WorkerReply Next = replyOf(SecondStartMs);
   Next.Ended.push_back({1, Run, RunOutcome::Done});
   Session.onHoldReply(Second, Next, Now);
   LONGS_EQUAL(2, Events.Ends.size());
@@ -152,7 +152,7 @@
 TEST(WorkerIncarnationTest, LeasesUseTheClockOfTheIncarnationThatGrantsThem) {
   attachFirst();
   replaceFirst();
-  settleSecond(replyOf(SecondBorn));
+  settleSecond(replyOf(SecondStartMs));
   Session.start(Run, "spec", Now);
   CHECK(Port.Starts.back().LeaseUntil <= WorkerTime(700) + Options.Lease);
   CHECK(Port.Starts.back().LeaseUntil > WorkerTime(700));
@@ -171,11 +171,11 @@
   attachFirst();
   startRun(Run);
   replaceFirst();
-  settleSecond(replyOf(SecondBorn));
+  settleSecond(replyOf(SecondStartMs));
   Run.Run = 2;
   Session.start(Run, "spec", Now);
   std::size_t Ends = Events.Ends.size();
-  WorkerReply Late = replyOf(FirstBorn);
+  WorkerReply Late = replyOf(FirstStartMs);
   Late.Clock = WorkerTime(999000);
   Late.Ended.push_back({58, Run, RunOutcome::Done});
   Session.onHoldReply(First, Late, Now);
@@ -193,7 +193,7 @@
   startRun(Run);
   listInFirst(Run);
   replaceFirst();
-  settleSecond(replyOf(SecondBorn));
+  settleSecond(replyOf(SecondStartMs));
   LONGS_EQUAL(1, Events.Ends.size());
   CHECK(Events.Ends[0] == RunOutcome::Lapsed);
   LONGS_EQUAL(1, Events.Crashed.size());
@@ -206,14 +206,14 @@
   attachFirst();
   startRun(Run);
   replaceFirst();
-  WorkerReply Held = replyOf(SecondBorn);
+  WorkerReply Held = replyOf(SecondStartMs);
   Held.Running.push_back(Run);
   settleSecond(Held);
   LONGS_EQUAL(0, Events.Ends.size());
   CHECK_FALSE(Session.isReady());
   LONGS_EQUAL(1, Port.Stops.size());
   CHECK(Port.Stops.back().Run == Run);
-  WorkerReply Stopped = replyOf(SecondBorn);
+  WorkerReply Stopped = replyOf(SecondStartMs);
   Stopped.Ended.push_back({1, Run, RunOutcome::Stopped});
   Session.onHoldReply(Second, Stopped, Now);
   LONGS_EQUAL(1, Events.Ends.size());
@@ -228,7 +228,7 @@
   pass(10ms);
   startRun(Run);
   replaceFirst();
-  settleSecond(replyOf(SecondBorn));
+  settleSecond(replyOf(SecondStartMs));
   LONGS_EQUAL(1, Events.Ends.size());
   CHECK(Events.Ends[0] == RunOutcome::Unknown);
 }
@@ -238,10 +238,10 @@
 TEST(WorkerIncarnationTest, AnIncarnationGetsNoRunsBeforeItsAnnouncement) {
   attachFirst();
   replaceFirst();
-  Session.onHoldReply(Second, replyOf(SecondBorn), Now);
+  Session.onHoldReply(Second, replyOf(SecondStartMs), Now);
   CHECK_FALSE(Session.isReady());
   int Ready = Events.Ready;
-  WorkerProfile New = profileOf(SecondBorn, 1);
+  WorkerProfile New = profileOf(SecondStartMs, 1);
   New.Room.set_cpu_milli(8000);
   New.Address = "10.0.0.9:1";
   Session.onProfile(New, Now);
@@ -255,10 +255,10 @@
 TEST(WorkerIncarnationTest,
      AnotherIdAtTheAddressRulesOutAllIncarnationsOfThisId) {
   attachFirst();
-  Session.onProfile(profileOf(SecondBorn, 1), Now);
+  Session.onProfile(profileOf(SecondStartMs, 1), Now);
   Session.onHoldReply(First, replyOf({}, WorkerRefusal::OtherIncarnation), Now);
   LONGS_EQUAL(1, Events.Attached);
-  WorkerProfile Other = profileOf(SecondBorn, 1);
+  WorkerProfile Other = profileOf(SecondStartMs, 1);
   Other.Id = "other";
   Session.onProfile(Other, Now);
   Session.onHoldReply(First, replyOf({}, WorkerRefusal::OtherIncarnation), Now);
@@ -274,10 +274,10 @@
   };
   const Row Rows[] = {
       {"nobody says it", {}, {}, {}},
-      {"only the lists say it", {}, {}, FirstBorn},
-      {"only the announcements say it", FirstBorn, FirstBorn, {}},
-      {"a later announcement says it", {}, FirstBorn, FirstBorn},
-      {"a later announcement does not", FirstBorn, {}, FirstBorn},
+      {"only the lists say it", {}, {}, FirstStartMs},
+      {"only the announcements say it", FirstStartMs, FirstStartMs, {}},
+      {"a later announcement says it", {}, FirstStartMs, FirstStartMs},
+      {"a later announcement does not", FirstStartMs, {}, FirstStartMs},
   };
   for (const Row &Row : Rows) {
     int Attached = Events.Attached;
@@ -292,7 +292,7 @@
 }
 
 TEST_GROUP_BASE(KeeperIncarnationTest, KeeperFixture){
-    WorkerProfile profileBorn(std::uint64_t StartUnixMs){
+    WorkerProfile profileStartedAt(std::uint64_t StartUnixMs){
         WorkerProfile Profile = profileOf(StartUnixMs, 1);
 Profile.Id = WorkerId;
 Profile.Pool = "pool";
@@ -300,16 +300,17 @@
 return Profile;
 }
 void beginIncarnation(LeaseKeeper &Keeper, std::uint64_t StartUnixMs) {
-  Keeper.onProfile(profileBorn(StartUnixMs), Now);
+  Keeper.onProfile(profileStartedAt(StartUnixMs), Now);
   Keeper.session().onHoldReply({WorkerId, StartUnixMs}, replyOf(StartUnixMs),
                                Now);
   CHECK(Keeper.session().isReady());
 }
 /// Another incarnation of the worker replies and announces itself.
 void replaceIncarnation(LeaseKeeper &Keeper, const WorkerReply &Held) {
-  Keeper.session().onHoldReply({WorkerId, FirstBorn}, replyOf(SecondBorn), Now);
-  Keeper.session().onHoldReply({WorkerId, SecondBorn}, Held, Now);
-  Keeper.onProfile(profileBorn(SecondBorn), Now);
+  Keeper.session().onHoldReply({WorkerId, FirstStartMs}, replyOf(SecondStartMs),
+                               Now);
+  Keeper.session().onHoldReply({WorkerId, SecondStartMs}, Held, Now);
+  Keeper.onProfile(profileStartedAt(SecondStartMs), Now);
 }
 }
 ;
@@ -318,19 +319,19 @@
 // good.
 TEST(KeeperIncarnationTest, ALateLeaveOfAnEarlierIncarnationChangesNothing) {
   LeaseKeeper Keeper(optionsWith(true), Sink, Port);
-  beginIncarnation(Keeper, SecondBorn);
-  Keeper.onWorkerLeft({WorkerId, FirstBorn}, Now);
+  beginIncarnation(Keeper, SecondStartMs);
+  Keeper.onWorkerLeft({WorkerId, FirstStartMs}, Now);
   CHECK_FALSE(Keeper.isLeaving());
-  Keeper.onWorkerLeft({WorkerId, SecondBorn}, Now);
+  Keeper.onWorkerLeft({WorkerId, SecondStartMs}, Now);
   CHECK(Keeper.isLeaving());
 }
 
 // Entries distinguish incarnations of a worker by the agent's number for each.
 TEST(KeeperIncarnationTest, EntriesSeeANumberForEachIncarnationOfOneId) {
   LeaseKeeper Keeper(optionsWith(true), Sink, Port);
-  beginIncarnation(Keeper, FirstBorn);
+  beginIncarnation(Keeper, FirstStartMs);
   std::uint64_t Before = Keeper.incarnation();
-  replaceIncarnation(Keeper, replyOf(SecondBorn));
+  replaceIncarnation(Keeper, replyOf(SecondStartMs));
   CHECK(Keeper.incarnation() > Before);
   // The new incarnation does not start what was meant for the previous one.
   Keeper.onMessage(EntryA, dispatch("job", stamp()), Now);
@@ -342,10 +343,10 @@
 // counts the task as lost with the agent's previous incarnation.
 TEST(KeeperIncarnationTest, ATaskWithAnUnknownEndIsNotReported) {
   LeaseKeeper Keeper(optionsWith(true), Sink, Port);
-  beginIncarnation(Keeper, FirstBorn);
+  beginIncarnation(Keeper, FirstStartMs);
   Keeper.onMessage(EntryA, dispatch("job", stamp()), Now);
   LONGS_EQUAL(1, Port.Starts.size());
-  replaceIncarnation(Keeper, replyOf(SecondBorn));
+  replaceIncarnation(Keeper, replyOf(SecondStartMs));
   LONGS_EQUAL(0, Sink.Updates.size());
   CHECK(Keeper.isIdle());
   // The task's room is free again.
@@ -359,10 +360,10 @@
 // id.
 TEST(KeeperIncarnationTest, CrashesAreReportedByIncarnation) {
   LeaseKeeper Keeper(optionsWith(true), Sink, Port);
-  beginIncarnation(Keeper, FirstBorn);
+  beginIncarnation(Keeper, FirstStartMs);
   std::uint64_t Incarnation = Keeper.incarnation();
   Keeper.onMessage(EntryA, dispatch("job", stamp()), Now);
-  replaceIncarnation(Keeper, replyOf(SecondBorn));
+  replaceIncarnation(Keeper, replyOf(SecondStartMs));
   Keeper.onMessage(EntryA, renewal(stamp()), Now);
   LONGS_EQUAL(1, Sink.Load.crashes_size());
   CHECK(Sink.Load.crashes(0).incarnation() == Incarnation);
@@ -371,9 +372,9 @@
 // A worker refuses a run whose number is not above the highest it has seen.
 TEST(KeeperIncarnationTest, RunNumbersKeepRisingAcrossIncarnations) {
   LeaseKeeper Keeper(optionsWith(true), Sink, Port);
-  beginIncarnation(Keeper, FirstBorn);
+  beginIncarnation(Keeper, FirstStartMs);
   Keeper.onMessage(EntryA, dispatch("job", stamp()), Now);
-  replaceIncarnation(Keeper, replyOf(SecondBorn));
+  replaceIncarnation(Keeper, replyOf(SecondStartMs));
   peer::Message Again = dispatch("job", stamp());
   Again.mutable_leased_dispatch()->set_agent_incarnation(Keeper.incarnation());
   Keeper.onMessage(EntryA, Again, Now);
--- a/tests/agent/worker_room_test.cpp
+++ b/tests/agent/worker_room_test.cpp
@@ -43,7 +43,7 @@
     Profile.Room.set_memory_mb(MemoryMb);
     this->Keeper.onProfile(Profile, this->Now);
   }
-  /// Sends tasks of one core each, unless told otherwise.
+  /// Sends tasks of \p Cores cores each.
   void dispatch(const std::string &Job, std::uint32_t Tasks,
                 std::uint64_t Offer = 0, std::uint32_t Cores = 1) {
     peer::Message Message;
