--- a/agent/agent_core.cpp
+++ b/agent/agent_core.cpp
@@ -16,20 +16,20 @@
   return static_cast<std::uint64_t>(Since.count()) + 1;
 }
 
-std::chrono::milliseconds AgentCore::memory() const {
-  // Longer than any dispatch, its probe and their answers may take.
+std::chrono::milliseconds AgentCore::recordRetention() const {
+  // Longer than a dispatch, its probe and their replies can take together.
   return 3 * this->Options.Freshness;
 }
 
-void AgentCore::noteTime(Instant Now) {
+void AgentCore::detectFreeze(Instant Now) {
   bool Frozen = this->LastSeen != TimePoint::min() &&
                 Now.Steady - this->LastSeen > this->Options.FreezeGap;
   this->LastSeen = Now.Steady;
   if (!Frozen || !this->Options.FencesOldDispatches)
     return;
-  // Entries have given up on what was sent meanwhile.
+  // Entries have given up on tasks that were sent in the meantime.
   this->OldestStamp = this->stamp(Now);
-  this->giveBackQueue(WasFrozen, Now);
+  this->rejectQueued(WasFrozen, Now);
 }
 
 peer::AgentLoad AgentCore::load(Instant Now) const {
@@ -45,7 +45,7 @@
 
 void AgentCore::onMessage(const PeerRef &From, const peer::Message &Message,
                           Instant Now) {
-  this->noteTime(Now);
+  this->detectFreeze(Now);
   switch (Message.body_case()) {
   case peer::Message::kDispatch:
     this->onDispatch(From, Message.dispatch(), Now);
@@ -72,7 +72,7 @@
   this->Ledger.setGroups(View, Now.Wall);
 }
 
-// ---- Tasks come in ----
+// ---- Incoming tasks ----
 
 void AgentCore::onDispatch(const PeerRef &From, const peer::Dispatch &Dispatch,
                            Instant Now) {
@@ -83,10 +83,11 @@
 void AgentCore::onOrder(const PeerRef &From, const peer::Dispatch &Dispatch,
                         const peer::TaskOrder &Order, Instant Now) {
   TaskKey Key{Dispatch.job_key(), Order.index()};
-  // Meant for an earlier life, which may have started it: no proof either way.
+  // Meant for an earlier incarnation, which may have started the task; nothing
+  // is proved either way.
   if (Dispatch.agent_incarnation() != this->Options.Incarnation) {
-    this->say(Key, From, Order.attempt(), peer::TASK_CANNOT_KNOW,
-              "the agent has restarted", Now);
+    this->sendEvent(Key, From, Order.attempt(), peer::TASK_CANNOT_KNOW,
+                    "the agent has restarted", Now);
     return;
   }
   auto Known = this->Records.find(Key);
@@ -124,7 +125,7 @@
   bool Old = Dispatch.freshness() + Bound < this->stamp(Now) ||
              Dispatch.freshness() < this->OldestStamp;
   if (Old && this->Options.FencesOldDispatches)
-    return StaleNews;
+    return StaleLoad;
   if (this->Draining)
     return Leaving;
   bool Full = this->Running >= this->Options.Slots &&
@@ -140,7 +141,7 @@
   Task.Changed = Now.Steady;
   Task.Payload.clear();
   this->Settled.push_back(Key);
-  this->say(Key, To, Attempt, peer::TASK_NOT_STARTED, Reason, Now);
+  this->sendEvent(Key, To, Attempt, peer::TASK_NOT_STARTED, Reason, Now);
 }
 
 void AgentCore::start(const TaskKey &Key, Record &Task, Instant Now) {
@@ -159,11 +160,11 @@
   }
 }
 
-// ---- Tasks end ----
+// ---- Ended tasks ----
 
 void AgentCore::onTaskEnded(const TaskKey &Task, const TaskEnd &End,
                             Instant Now) {
-  this->noteTime(Now);
+  this->detectFreeze(Now);
   auto Found = this->Records.find(Task);
   if (Found == this->Records.end() || Found->second.Phase != State::Running)
     return;
@@ -190,7 +191,7 @@
   }
 }
 
-// ---- Questions and withdrawals ----
+// ---- Probes and withdrawals ----
 
 void AgentCore::onWithdraw(const PeerRef &From, const peer::Withdraw &Withdraw,
                            Instant Now) {
@@ -208,8 +209,8 @@
                             const peer::TaskAttempt &Asked, Instant Now) {
   TaskKey Key{Withdraw.job_key(), Asked.index()};
   if (Withdraw.agent_incarnation() != this->Options.Incarnation) {
-    this->say(Key, From, Asked.attempt(), peer::TASK_CANNOT_KNOW,
-              "the agent has restarted", Now);
+    this->sendEvent(Key, From, Asked.attempt(), peer::TASK_CANNOT_KNOW,
+                    "the agent has restarted", Now);
     return;
   }
   auto Known = this->Records.find(Key);
@@ -236,13 +237,16 @@
 
 void AgentCore::withdrawUnknown(const PeerRef &From, const TaskKey &Key,
                                 const peer::TaskAttempt &Asked, Instant Now) {
-  // Had it been taken since that stamp, it would still be remembered.
-  std::uint64_t Memory = static_cast<std::uint64_t>(this->memory().count());
-  if (Asked.freshness() + Memory >= this->stamp(Now))
+  // If the task had been accepted since that stamp, it would still be
+  // remembered.
+  std::uint64_t Retention =
+      static_cast<std::uint64_t>(this->recordRetention().count());
+  if (Asked.freshness() + Retention >= this->stamp(Now))
     this->refuse(Key, From, Asked.attempt(), Withdrawn, Now);
   else
-    this->say(Key, From, Asked.attempt(), peer::TASK_CANNOT_KNOW,
-              "the task was sent too long ago to know", Now);
+    this->sendEvent(Key, From, Asked.attempt(), peer::TASK_CANNOT_KNOW,
+                    "the task was sent too long ago to tell whether it started",
+                    Now);
 }
 
 void AgentCore::repeatState(const TaskKey &Key, const PeerRef &To,
@@ -250,13 +254,13 @@
                             Instant Now) {
   switch (Known.Phase) {
   case State::Queued:
-    this->say(Key, To, Attempt, peer::TASK_QUEUED, "", Now);
+    this->sendEvent(Key, To, Attempt, peer::TASK_QUEUED, "", Now);
     return;
   case State::Running:
-    this->say(Key, To, Attempt, peer::TASK_STARTED, "", Now);
+    this->sendEvent(Key, To, Attempt, peer::TASK_STARTED, "", Now);
     return;
   case State::NeverStarts:
-    this->say(Key, To, Attempt, peer::TASK_NOT_STARTED, Withdrawn, Now);
+    this->sendEvent(Key, To, Attempt, peer::TASK_NOT_STARTED, Withdrawn, Now);
     return;
   case State::Ended:
     this->sendUpdate(To, Known.Last, Now);
@@ -264,9 +268,9 @@
   }
 }
 
-void AgentCore::say(const TaskKey &Key, const PeerRef &To,
-                    std::uint32_t Attempt, peer::TaskEvent Event,
-                    const std::string &Reason, Instant Now) {
+void AgentCore::sendEvent(const TaskKey &Key, const PeerRef &To,
+                          std::uint32_t Attempt, peer::TaskEvent Event,
+                          const std::string &Reason, Instant Now) {
   peer::TaskUpdate Update;
   Update.set_job_key(Key.Job);
   Update.set_index(Key.Index);
@@ -285,8 +289,8 @@
 }
 
 void AgentCore::onSendFailed(const std::string &Entry, Instant Now) {
-  this->noteTime(Now);
-  // Settled holds keys in the order in which they settled.
+  this->detectFreeze(Now);
+  // Settled holds the keys in the order in which tasks ended or were refused.
   for (auto Key = this->Settled.rbegin(); Key != this->Settled.rend(); ++Key) {
     auto Known = this->Records.find(*Key);
     if (Known == this->Records.end())
@@ -299,14 +303,14 @@
   }
 }
 
-// ---- Time ----
+// ---- Draining and expiry ----
 
 void AgentCore::drain(Instant Now) {
   this->Draining = true;
-  this->giveBackQueue(Leaving, Now);
+  this->rejectQueued(Leaving, Now);
 }
 
-void AgentCore::giveBackQueue(const char *Reason, Instant Now) {
+void AgentCore::rejectQueued(const char *Reason, Instant Now) {
   std::deque<TaskKey> Waiting;
   std::swap(Waiting, this->Queue);
   for (const TaskKey &Key : Waiting) {
@@ -316,7 +320,7 @@
 }
 
 void AgentCore::tick(Instant Now) {
-  this->noteTime(Now);
+  this->detectFreeze(Now);
   this->expire(Now);
   this->Ledger.expire(Now.Wall);
 }
@@ -327,7 +331,7 @@
     if (Oldest != this->Records.end()) {
       const Record &Task = Oldest->second;
       bool Open = Task.Phase == State::Queued || Task.Phase == State::Running;
-      bool Young = Now.Steady - Task.Changed < this->memory();
+      bool Young = Now.Steady - Task.Changed < this->recordRetention();
       if (!Open && Young)
         return;
       if (!Open)
--- a/agent/lease_keeper_leases.cpp
+++ b/agent/lease_keeper_leases.cpp
@@ -1,4 +1,4 @@
-//===- The part of LeaseKeeper that keeps leases by the time --------------===//
+//===- LeaseKeeper: leases, deadlines and retention -----------------------===//
 
 #include "agent/lease_keeper.h"
 
@@ -6,13 +6,13 @@
 
 namespace yardwheel {
 
-void LeaseKeeper::noteLife(const PeerRef &From, Instant Now) {
-  std::uint64_t &Life = this->EntryLives[From.Node];
-  bool Restarted = Life != 0 && Life != From.Incarnation;
-  Life = From.Incarnation;
+void LeaseKeeper::trackIncarnation(const PeerRef &From, Instant Now) {
+  std::uint64_t &LastKnown = this->EntryIncarnations[From.Node];
+  bool Restarted = LastKnown != 0 && LastKnown != From.Incarnation;
+  LastKnown = From.Incarnation;
   if (!Restarted)
     return;
-  this->EntriesHeard.erase(From.Node);
+  this->EntryLeaseEnds.erase(From.Node);
   std::vector<TaskId> Orphaned;
   for (const auto &[Id, Known] : this->Tasks)
     if (Known.Owner.Node == From.Node &&
@@ -21,16 +21,17 @@
   this->Log.decision("entry_restarted", {{"entry", From.Node},
                                          {"incarnation", From.Incarnation},
                                          {"tasks", Orphaned.size()}});
-  // The present life does not know of them, while their callers have them run
-  // elsewhere.
+  // The new incarnation of the entry does not know these tasks, and their
+  // callers have them run elsewhere.
   for (const TaskId &Id : Orphaned)
-    this->dropTask(Id, peer::REFUSAL_STALE, "its entry has restarted", Now);
+    this->dropTask(Id, peer::REFUSAL_STALE, "the task's entry has restarted",
+                   Now);
 }
 
 std::chrono::milliseconds LeaseKeeper::leaseFrom(std::uint64_t Stamp,
                                                  Instant Now) const {
   std::uint64_t Present = stampAt(Now);
-  if (!this->Options.LeasesCountFromEcho)
+  if (!this->Options.LeasesCountFromStamp)
     Stamp = Present;
   auto Length = static_cast<std::uint64_t>(this->Options.EntryLease.count());
   if (Stamp > Present || Present - Stamp >= Length)
@@ -44,22 +45,22 @@
   if (Left.count() == 0)
     return;
   TimePoint Until = Now.Steady + Left;
-  TimePoint &Heard = this->EntriesHeard[From.Node];
+  TimePoint &Heard = this->EntryLeaseEnds[From.Node];
   Heard = std::max(Heard, Until);
   for (auto &[Id, Known] : this->Tasks)
     if (Known.Owner.Node == From.Node && Orders.contains(Known.Order))
-      Known.Until = std::max(Known.Until, Until);
+      Known.LeaseEnd = std::max(Known.LeaseEnd, Until);
 }
 
-TimePoint LeaseKeeper::runsEndBy(Instant Now) const {
-  // What waits counts as well: it may start next.
+TimePoint LeaseKeeper::maxWorkerLeaseEnd(Instant Now) const {
+  // Queued tasks limit the worker's lease as well, as they may start next.
   TimePoint First = TimePoint::max();
   for (const auto &[Id, Known] : this->Tasks) {
     bool HasStopped =
         Known.State == Phase::Stopping &&
         this->Session.hasStopped({Id.Job, Id.Index, Known.Run}, Now);
     if (!HasStopped)
-      First = std::min(First, Known.Until + this->Options.StopAllowance);
+      First = std::min(First, Known.LeaseEnd + this->Options.StopAllowance);
   }
   return First;
 }
@@ -68,61 +69,62 @@
   this->dropExpired(Now);
   this->Session.tick(Now);
   this->sweep(Now);
-  for (const peer::TaskNeeds &Room : this->Desk.releaseExpired(Now.Steady))
-    this->giveRoomBack(Room);
+  for (const peer::TaskNeeds &Room : this->Offers.releaseExpired(Now.Steady))
+    this->releaseRoom(Room);
   this->startFitting(Now);
-  this->tickLingering(Now);
+  this->flushDueUpdates(Now);
 }
 
 void LeaseKeeper::dropExpired(Instant Now) {
   this->dropLapsed(Now);
-  this->dropLate(Now);
+  this->dropOverdue(Now);
 }
 
 void LeaseKeeper::dropLapsed(Instant Now) {
-  std::erase_if(this->EntriesHeard,
+  std::erase_if(this->EntryLeaseEnds,
                 [&](const auto &Item) { return Now.Steady >= Item.second; });
   std::map<std::string, std::vector<TaskId>> Lapsed;
   for (const auto &[Id, Known] : this->Tasks)
-    if (Known.State != Phase::Stopping && Now.Steady >= Known.Until)
+    if (Known.State != Phase::Stopping && Now.Steady >= Known.LeaseEnd)
       Lapsed[Known.Owner.Node].push_back(Id);
   for (const auto &[Entry, Concerned] : Lapsed) {
     ++this->Counters.LeasesLapsed;
     this->Log.decision("lease_lapsed",
                        {{"entry", Entry},
                         {"lease_ms", this->Options.EntryLease.count()},
-                        {"entry_heard", this->EntriesHeard.contains(Entry)},
+                        {"entry_heard", this->EntryLeaseEnds.contains(Entry)},
                         {"tasks", Concerned.size()}});
     for (const TaskId &Id : Concerned)
-      this->dropTask(Id, peer::REFUSAL_STALE, "its entry's lease lapsed", Now);
+      this->dropTask(Id, peer::REFUSAL_STALE, "the task's lease has lapsed",
+                     Now);
   }
 }
 
-void LeaseKeeper::dropLate(Instant Now) {
+void LeaseKeeper::dropOverdue(Instant Now) {
   std::vector<TaskId> Late;
   for (const TaskId &Id : this->Queue)
-    if (Now.Steady >= this->Tasks.at(Id).GiveUp)
+    if (Now.Steady >= this->Tasks.at(Id).GiveUpAt)
       Late.push_back(Id);
   for (const TaskId &Id : Late)
-    this->dropTask(Id, peer::REFUSAL_TOO_LATE, "it could not start in time",
-                   Now);
+    this->dropTask(Id, peer::REFUSAL_TOO_LATE,
+                   "the task could not start in time", Now);
 }
 
 void LeaseKeeper::sweep(Instant Now) {
   while (!this->Crashes.empty() &&
-         Now.Steady - this->Crashes.front().At > this->Options.CrashTold)
+         Now.Steady - this->Crashes.front().At > this->Options.CrashRetention)
     this->Crashes.pop_front();
   if (Now.Steady >= this->NextOrderSweep) {
-    this->NextOrderSweep = Now.Steady + this->Options.OrderMemory;
+    this->NextOrderSweep = Now.Steady + this->Options.PlacementRetention;
     std::erase_if(this->Ended, [&](const auto &Item) {
-      return Now.Steady - Item.second > this->Options.OrderMemory;
+      return Now.Steady - Item.second > this->Options.PlacementRetention;
     });
   }
   if (Now.Steady < this->NextSweep)
     return;
-  this->NextSweep = Now.Steady + this->Options.RunMemory;
+  this->NextSweep = Now.Steady + this->Options.RunRetention;
   std::erase_if(this->LastRuns, [&](const auto &Item) {
-    return Now.Steady - Item.second.Used > this->Options.RunMemory;
+    return Now.Steady - Item.second.Used > this->Options.RunRetention;
   });
 }
 
--- a/agent/refusals.h
+++ b/agent/refusals.h
@@ -1,8 +1,8 @@
-//===- agent/refusals.h - Reasons an agent gives ----------------*- C++ -*-===//
+//===- agent/refusals.h - Reasons for refusals ------------------*- C++ -*-===//
 ///
 /// \file
-/// The reasons with which an agent proves that a task has not started; an
-/// entry acts on some of them.
+/// Reasons that an agent gives as proof that a task has not started. An entry
+/// compares some of them with these texts.
 ///
 //===----------------------------------------------------------------------===//
 #ifndef YARDWHEEL_AGENT_REFUSALS_H
@@ -10,7 +10,7 @@
 
 namespace yardwheel {
 
-constexpr const char *StaleNews = "the dispatch rests on old news";
+constexpr const char *StaleLoad = "the dispatch rests on old news";
 constexpr const char *SlotsFull = "slots and queue are full";
 constexpr const char *Leaving = "the upstream is leaving";
 constexpr const char *Withdrawn = "withdrawn before its start";
--- a/agent/worker_session.cpp
+++ b/agent/worker_session.cpp
@@ -6,8 +6,9 @@
 
 namespace {
 
-/// Added to a fencing token that proved too low; doubles with each refusal.
-/// More than the processes' clocks of day are ever apart, in milliseconds.
+/// Added to a fencing token that proved too low, in milliseconds; doubles with
+/// each refusal. Larger than the difference between the processes' wall clocks
+/// ever is.
 constexpr std::uint64_t TokenStep = 10000;
 
 } // namespace
@@ -18,15 +19,15 @@
     return "none";
   case WorkerRefusal::Fenced:
     return "fenced";
-  case WorkerRefusal::OldRun:
+  case WorkerRefusal::StaleRun:
     return "old_run";
-  case WorkerRefusal::LeaseOver:
+  case WorkerRefusal::LeaseExpired:
     return "lease_over";
   case WorkerRefusal::NoRoom:
     return "no_room";
-  case WorkerRefusal::Unwell:
+  case WorkerRefusal::Unhealthy:
     return "unwell";
-  case WorkerRefusal::OtherLife:
+  case WorkerRefusal::OtherIncarnation:
     return "other_life";
   case WorkerRefusal::Malformed:
     return "malformed";
@@ -34,21 +35,21 @@
   return "malformed";
 }
 
-const char *runEndName(RunEnd End) {
+const char *runOutcomeName(RunOutcome End) {
   switch (End) {
-  case RunEnd::Done:
+  case RunOutcome::Done:
     return "done";
-  case RunEnd::Failed:
+  case RunOutcome::Failed:
     return "failed";
-  case RunEnd::Stopped:
+  case RunOutcome::Stopped:
     return "stopped";
-  case RunEnd::Lapsed:
+  case RunOutcome::Lapsed:
     return "lapsed";
-  case RunEnd::Unanswered:
+  case RunOutcome::Unanswered:
     return "unanswered";
-  case RunEnd::Unknown:
+  case RunOutcome::Unknown:
     return "unknown";
-  case RunEnd::Other:
+  case RunOutcome::Other:
     return "other";
   }
   return "other";
@@ -58,46 +59,46 @@
                              SessionEvents &Events)
     : Options(Options), Port(Port), Events(Events) {}
 
-// ---- The worker's clock, lease and token ----
+// ---- Worker clock, lease and fencing token ----
 
-void WorkerSession::noteClock(const WorkerReply &Reply, Instant Now) {
+void WorkerSession::recordClock(const WorkerReply &Reply, Instant Now) {
   if (!Reply.Clock)
     return;
-  this->ClockRead = *Reply.Clock;
-  this->ClockReadAt = Now.Steady;
+  this->ClockReading = *Reply.Clock;
+  this->ClockReadingTime = Now.Steady;
   this->LastAnswer = Now.Steady;
-  // The word of another life says nothing of this one.
-  if (Reply.Refusal != WorkerRefusal::OtherLife)
-    this->UnheardSince.reset();
+  // A reply from another incarnation proves nothing about this one.
+  if (Reply.Refusal != WorkerRefusal::OtherIncarnation)
+    this->SilentSince.reset();
 }
 
-void WorkerSession::noteUnanswered(Instant Now) {
+void WorkerSession::recordLostCall(Instant Now) {
   this->LastLoss = Now.Steady;
-  if (!this->UnheardSince)
-    this->UnheardSince = Now.Steady;
+  if (!this->SilentSince)
+    this->SilentSince = Now.Steady;
 }
 
 TimePoint WorkerSession::nextLeaseEnd(Instant Now) const {
   return std::min(Now.Steady + this->Options.Lease,
-                  this->Events.runsEndBy(Now));
+                  this->Events.maxWorkerLeaseEnd(Now));
 }
 
 WorkerTime WorkerSession::extendLease(Instant Now) {
   TimePoint Ends = this->nextLeaseEnd(Now);
-  // A worker shortens no lease.
+  // A worker never shortens a lease.
   this->LeaseEnds = std::max(this->LeaseEnds, Ends);
   auto Since = std::chrono::duration_cast<std::chrono::milliseconds>(
-      Now.Steady - this->ClockReadAt);
-  if (Since > this->Options.ClockReadFor)
+      Now.Steady - this->ClockReadingTime);
+  if (Since > this->Options.MaxClockReadingAge)
     Since = {};
-  return this->ClockRead + Since +
+  return this->ClockReading + Since +
          std::chrono::floor<std::chrono::milliseconds>(Ends - Now.Steady);
 }
 
 void WorkerSession::raiseToken(Instant Now) {
   std::uint64_t Refused = this->Token;
-  std::uint64_t DayTime = static_cast<std::uint64_t>(toUnixMillis(Now.Wall));
-  std::uint64_t Ahead = this->Token > DayTime ? this->Token - DayTime : 0;
+  std::uint64_t UnixMs = static_cast<std::uint64_t>(toUnixMillis(Now.Wall));
+  std::uint64_t Ahead = this->Token > UnixMs ? this->Token - UnixMs : 0;
   this->Token += TokenStep + Ahead;
   this->Log.decision("fencing_token_raised", {{"worker", this->Profile->Id},
                                               {"refused", Refused},
@@ -111,11 +112,11 @@
   Run &New = this->Runs[Key];
   New = Run();
   New.Spec = Spec;
-  New.CalledAt = Now.Steady;
-  this->callStart(Key, New, Now);
+  New.StartTime = Now.Steady;
+  this->sendStart(Key, New, Now);
 }
 
-void WorkerSession::callStart(const RunKey &Key, const Run &Known,
+void WorkerSession::sendStart(const RunKey &Key, const Run &Known,
                               Instant Now) {
   this->Port.start({Key, Known.Spec, this->extendLease(Now), this->Token});
 }
@@ -123,24 +124,25 @@
 void WorkerSession::stop(const RunKey &Key, Instant Now) {
   auto Found = this->Runs.find(Key);
   if (Found != this->Runs.end() && Found->second.State != Phase::Stopping)
-    this->callStop(Key, Found->second, Now);
+    this->sendStop(Key, Found->second, Now);
 }
 
-void WorkerSession::callStop(const RunKey &Key, Run &Known, Instant Now) {
+void WorkerSession::sendStop(const RunKey &Key, Run &Known, Instant Now) {
   Known.State = Phase::Stopping;
-  Known.NextStop = Now.Steady + this->Options.StopRetry;
+  Known.NextStop = Now.Steady + this->Options.StopRetryInterval;
   this->Port.stop({Key, this->Token});
 }
 
-void WorkerSession::onStartReply(const WorkerLife &Life, const RunKey &Key,
-                                 const WorkerReply &Reply, Instant Now) {
-  if (!this->isCurrent(Life))
+void WorkerSession::onStartReply(const WorkerIncarnation &Worker,
+                                 const RunKey &Key, const WorkerReply &Reply,
+                                 Instant Now) {
+  if (!this->isCurrent(Worker))
     return;
-  if (this->isFromOtherLife(Reply)) {
-    this->replaceLife(Reply, Now);
+  if (this->isFromOtherIncarnation(Reply)) {
+    this->replaceIncarnation(Reply, Now);
     return;
   }
-  this->noteClock(Reply, Now);
+  this->recordClock(Reply, Now);
   auto Found = this->Runs.find(Key);
   if (Found == this->Runs.end())
     return;
@@ -158,15 +160,15 @@
     this->raiseToken(Now);
   if (Known.StartsLost == 0)
     this->refuse(Key, Reply.Refusal, Now);
-  // An earlier start may have begun it, or may still do so.
+  // An earlier start may have started the run, or may still do so.
   else if (Known.State == Phase::Starting)
-    this->callStop(Key, Known, Now);
+    this->sendStop(Key, Known, Now);
 }
 
 void WorkerSession::onStartLost(const RunKey &Key, Run &Known,
                                 const WorkerReply &Reply, Instant Now) {
   ++Known.StartsLost;
-  this->noteUnanswered(Now);
+  this->recordLostCall(Now);
   this->Log.decision("start_unanswered", {{"job", Key.Job},
                                           {"task", Key.Index},
                                           {"run", Key.Run},
@@ -175,80 +177,83 @@
                                           {"problem", Reply.Problem}});
   if (Known.State != Phase::Starting)
     return;
-  if (Known.StartsLost < this->Options.StartTries)
-    this->callStart(Key, Known, Now);
+  if (Known.StartsLost < this->Options.MaxStartAttempts)
+    this->sendStart(Key, Known, Now);
   else
-    this->callStop(Key, Known, Now);
+    this->sendStop(Key, Known, Now);
 }
 
-void WorkerSession::onStopReply(const WorkerLife &Life, const RunKey &Key,
-                                const WorkerReply &Reply, Instant Now) {
-  if (!this->isCurrent(Life))
+void WorkerSession::onStopReply(const WorkerIncarnation &Worker,
+                                const RunKey &Key, const WorkerReply &Reply,
+                                Instant Now) {
+  if (!this->isCurrent(Worker))
     return;
-  if (this->isFromOtherLife(Reply)) {
-    this->replaceLife(Reply, Now);
+  if (this->isFromOtherIncarnation(Reply)) {
+    this->replaceIncarnation(Reply, Now);
     return;
   }
-  this->noteClock(Reply, Now);
+  this->recordClock(Reply, Now);
   if (Reply.Answered && Reply.Refusal == WorkerRefusal::Fenced)
     this->raiseToken(Now);
   bool Confirmed = Reply.Answered && Reply.Refusal == WorkerRefusal::None;
   if (!Confirmed)
     return;
-  this->Strangers.erase(Key);
+  this->OrphanedRuns.erase(Key);
   auto Found = this->Runs.find(Key);
   if (Found == this->Runs.end())
     return;
-  // A run that did begin is listed as ended before its room is free.
+  // If the run did start, its room is freed only when the worker lists its end.
   Run &Known = Found->second;
-  Known.NextStop = Now.Steady + this->Options.ConfirmedStopRetry;
+  Known.NextStop = Now.Steady + this->Options.ConfirmedStopRetryInterval;
   Known.StopConfirmedAt = std::min(Known.StopConfirmedAt, Now.Steady);
-  // One that never began is not listed as ended, nor legibly one whose end
-  // could not be read.
-  bool NotTold = Known.StartsLost > 0 || Known.EndUnread;
-  if (NotTold && Known.StoppedAt == TimePoint::max())
-    Known.StoppedAt = Now.Steady + this->Options.StopTakes;
+  // It does not list a run that never started, and an end that could not be
+  // parsed may never be listed in a readable form.
+  bool IsNotListed = Known.StartsLost > 0 || Known.EndUnreadable;
+  if (IsNotListed && Known.StoppedAt == TimePoint::max())
+    Known.StoppedAt = Now.Steady + this->Options.MaxStopDuration;
 }
 
 bool WorkerSession::hasStopped(const RunKey &Key, Instant Now) const {
   auto Found = this->Runs.find(Key);
   return Found != this->Runs.end() &&
-         Found->second.StopConfirmedAt <= Now.Steady - this->Options.StopTakes;
+         Found->second.StopConfirmedAt <=
+             Now.Steady - this->Options.MaxStopDuration;
 }
 
-void WorkerSession::refuse(const RunKey &Key, WorkerRefusal Why, Instant Now) {
+void WorkerSession::refuse(const RunKey &Key, WorkerRefusal Cause,
+                           Instant Now) {
   this->Runs.erase(Key);
-  this->Events.onRunRefused(Key, Why, Now);
+  this->Events.onRunRefused(Key, Cause, Now);
 }
 
-void WorkerSession::end(const RunKey &Key, RunEnd How, Instant Now) {
+void WorkerSession::end(const RunKey &Key, RunOutcome Outcome, Instant Now) {
   this->Runs.erase(Key);
-  this->Events.onRunEnded(Key, How, Now);
+  this->Events.onRunEnded(Key, Outcome, Now);
 }
 
-// ---- The lease and the ends ----
+// ---- Hold calls: lease renewal and ended runs ----
 
 std::chrono::milliseconds WorkerSession::holdWait(Instant Now) const {
   if (!this->Ready)
     return this->Options.FirstHoldWait;
-  if (this->InDoubt)
+  if (this->LastHoldFailed)
     return {};
   if (this->Runs.empty())
     return this->Options.IdleHoldWait;
   bool Lossy = this->LastLoss != TimePoint::min() &&
-               Now.Steady - this->LastLoss < this->Options.LossMemory;
+               Now.Steady - this->LastLoss < this->Options.LossWindow;
   return Lossy ? this->Options.HoldWaitAfterLoss : this->Options.HoldWait;
 }
 
-void WorkerSession::callHold(std::chrono::milliseconds Wait, Instant Now) {
-  ++this->HoldsOut;
+void WorkerSession::sendHold(std::chrono::milliseconds Wait, Instant Now) {
+  ++this->PendingHolds;
   HoldCall Call;
   Call.FencingToken = this->Token;
   Call.AcknowledgedEnd = this->Acknowledged;
   Call.Wait = Wait;
-  // A worker that may not hear us is given no lease, so that its last one can
-  // be told to have lapsed.
-  bool Extends = this->Ready && !this->InDoubt && !this->Runs.empty() &&
+  // A worker that may not receive our calls is given no lease, so that the
+  // expiry of its last one can be determined.
+  bool Extends = this->Ready && !this->LastHoldFailed && !this->Runs.empty() &&
                  this->nextLeaseEnd(Now) > Now.Steady;
   if (Extends)
     Call.LeaseUntil = this->extendLease(Now);
@@ -256,28 +261,28 @@
 }
 
 void WorkerSession::renewIfDue(Instant Now) {
-  // Where the lease may not last as long as it could, calls gain little.
+  // If the lease can hardly be extended, a call is not worth its cost.
   bool Gains =
       this->nextLeaseEnd(Now) - this->LeaseEnds >= this->Options.Lease / 8;
-  bool Due = !this->Runs.empty() && this->Ready && !this->InDoubt && Gains &&
-             this->LeaseEnds - Now.Steady < this->Options.Lease / 2;
+  bool Due = !this->Runs.empty() && this->Ready && !this->LastHoldFailed &&
+             Gains && this->LeaseEnds - Now.Steady < this->Options.Lease / 2;
   if (Due)
-    this->callHold({}, Now);
+    this->sendHold({}, Now);
 }
 
-void WorkerSession::onHoldReply(const WorkerLife &Life,
+void WorkerSession::onHoldReply(const WorkerIncarnation &Worker,
                                 const WorkerReply &Reply, Instant Now) {
-  if (!this->isCurrent(Life))
+  if (!this->isCurrent(Worker))
     return;
-  this->HoldsOut = std::max(this->HoldsOut - 1, 0);
-  if (this->isFromOtherLife(Reply)) {
-    this->replaceLife(Reply, Now);
+  this->PendingHolds = std::max(this->PendingHolds - 1, 0);
+  if (this->isFromOtherIncarnation(Reply)) {
+    this->replaceIncarnation(Reply, Now);
     return;
   }
-  this->noteClock(Reply, Now);
+  this->recordClock(Reply, Now);
   if (!this->Candidates.empty()) {
-    this->judgeCandidates(Reply, Now);
-    if (!this->isCurrent(Life))
+    this->resolveCandidates(Reply, Now);
+    if (!this->isCurrent(Worker))
       return;
   }
   if (!Reply.Answered || Reply.Refusal != WorkerRefusal::None) {
@@ -285,22 +290,23 @@
     return;
   }
   this->Answering = true;
-  this->InDoubt = false;
-  this->LapsedUnheard.clear();
-  this->logBadRows(Reply, Now);
-  this->noteRunning(Reply);
-  this->takeEnds(Reply, Now);
-  this->settleBadEnds(Reply, Now);
+  this->LastHoldFailed = false;
+  this->LapsedWhileSilent.clear();
+  this->logUnreadableRows(Reply, Now);
+  this->markListedRuns(Reply);
+  this->processEnds(Reply, Now);
+  this->resolveUnreadableEnds(Reply, Now);
   if (!this->Ready)
-    this->adoptStrangers(Reply, Now);
-  // The worker tells an end that is not acknowledged at once, in each reply.
-  if (this->BadEndsSince)
-    this->NextHold = Now.Steady + this->Options.HoldRetry;
-  else if (this->HoldsOut == 0)
-    this->callHold(this->holdWait(Now), Now);
+    this->stopOrphanedRuns(Reply, Now);
+  // The worker reports an unacknowledged end again in each reply, without
+  // waiting.
+  if (this->UnreadableEndsSince)
+    this->NextHold = Now.Steady + this->Options.HoldRetryInterval;
+  else if (this->PendingHolds == 0)
+    this->sendHold(this->holdWait(Now), Now);
 }
 
-void WorkerSession::noteRunning(const WorkerReply &Reply) {
+void WorkerSession::markListedRuns(const WorkerReply &Reply) {
   for (const RunKey &Key : Reply.Running) {
     auto Found = this->Runs.find(Key);
     if (Found != this->Runs.end())
@@ -308,78 +314,85 @@
   }
 }
 
-void WorkerSession::takeEnds(const WorkerReply &Reply, Instant Now) {
+void WorkerSession::processEnds(const WorkerReply &Reply, Instant Now) {
   for (const EndedRun &Ended : Reply.Ended) {
-    // A worker forgets all ends up to an acknowledged one. One that could not
-    // be read would be lost, and its run would hold its room for good.
+    // A worker forgets all ends up to the acknowledged one. If an unreadable
+    // end were among them, it would be lost, and its run would occupy its room
+    // forever.
     std::uint64_t Read = std::min(Ended.Number, Reply.ReadUpTo);
     this->Acknowledged = std::max(this->Acknowledged, Read);
-    this->Strangers.erase(Ended.Run);
+    this->OrphanedRuns.erase(Ended.Run);
     if (this->Runs.contains(Ended.Run))
-      this->end(Ended.Run, Ended.How, Now);
-    else if (this->Inherited.erase(Ended.Run) > 0)
-      this->Events.onRunEnded(Ended.Run, Ended.How, Now);
+      this->end(Ended.Run, Ended.Outcome, Now);
+    else if (this->InheritedRuns.erase(Ended.Run) > 0)
+      this->Events.onRunEnded(Ended.Run, Ended.Outcome, Now);
   }
 }
 
-void WorkerSession::settleBadEnds(const WorkerReply &Reply, Instant Now) {
+void WorkerSession::resolveUnreadableEnds(const WorkerReply &Reply,
+                                          Instant Now) {
   if (Reply.ReadUpTo == UINT64_MAX) {
-    this->BadEndsSince.reset();
+    this->UnreadableEndsSince.reset();
     return;
   }
-  if (!this->BadEndsSince) {
-    this->BadEndsSince = Now.Steady;
-    this->BadEndsUpTo = 0;
-    // Not by the bad ones: with a number far too high, later ends would be
-    // lost.
+  if (!this->UnreadableEndsSince) {
+    this->UnreadableEndsSince = Now.Steady;
+    this->LastReadableEnd = 0;
+    // Numbers of unreadable ends are not used: one that is far too high would
+    // cause later ends to be lost.
     for (const EndedRun &Ended : Reply.Ended)
-      this->BadEndsUpTo = std::max(this->BadEndsUpTo, Ended.Number);
+      this->LastReadableEnd = std::max(this->LastReadableEnd, Ended.Number);
   }
-  // Which run is meant cannot be told without all of the other list.
-  bool Old = Now.Steady - *this->BadEndsSince >= this->Options.BadEndsPatience;
-  if (!Old || Reply.BadRunning > 0 || this->stopUnlisted(Reply, Now))
+  // The runs concerned can only be determined if the list of running tasks is
+  // complete.
+  bool Old = Now.Steady - *this->UnreadableEndsSince >=
+             this->Options.UnreadableEndsTimeout;
+  if (!Old || Reply.UnreadableRunning > 0 || this->stopUnlisted(Reply, Now))
     return;
-  // Kept for longer, such ends would fill the list that a worker gives, and
-  // hide later ones.
-  this->Acknowledged = std::max(this->Acknowledged, this->BadEndsUpTo);
-  this->BadEndsSince.reset();
+  // If they stayed unacknowledged, these ends would fill the list in the
+  // worker's replies and hide later ones.
+  this->Acknowledged = std::max(this->Acknowledged, this->LastReadableEnd);
+  this->UnreadableEndsSince.reset();
 }
 
 bool WorkerSession::stopUnlisted(const WorkerReply &Reply, Instant Now) {
   bool Any = false;
   for (auto &[Key, Known] : this->Runs) {
     bool Listed = std::ranges::find(Reply.Running, Key) != Reply.Running.end();
-    if (Listed || Known.CalledAt > *this->BadEndsSince)
+    if (Listed || Known.StartTime > *this->UnreadableEndsSince)
       continue;
     Any = true;
-    // The reply may be older than the run's start, so its word is not proof.
-    if (!Known.EndUnread && Known.State != Phase::Stopping)
-      this->callStop(Key, Known, Now);
-    Known.EndUnread = true;
+    // The reply may be older than the start of the run, so it is no proof of
+    // the end.
+    if (!Known.EndUnreadable && Known.State != Phase::Stopping)
+      this->sendStop(Key, Known, Now);
+    Known.EndUnreadable = true;
   }
   return Any;
 }
 
-void WorkerSession::logBadRows(const WorkerReply &Reply, Instant Now) {
-  if (Reply.BadRows == 0 || Now.Steady < this->NextBadRowsLog)
+void WorkerSession::logUnreadableRows(const WorkerReply &Reply, Instant Now) {
+  if (Reply.UnreadableRows == 0 || Now.Steady < this->NextUnreadableRowsLog)
     return;
-  this->NextBadRowsLog = Now.Steady + this->Options.BadRowsLogEvery;
-  this->Log.decision("reply_rows_skipped", {{"worker", this->Profile->Id},
-                                            {"rows", Reply.BadRows},
-                                            {"running", Reply.BadRunning},
-                                            {"ends_read", Reply.Ended.size()}});
+  this->NextUnreadableRowsLog =
+      Now.Steady + this->Options.UnreadableRowsLogInterval;
+  this->Log.decision("reply_rows_skipped",
+                     {{"worker", this->Profile->Id},
+                      {"rows", Reply.UnreadableRows},
+                      {"running", Reply.UnreadableRunning},
+                      {"ends_read", Reply.Ended.size()}});
 }
 
 void WorkerSession::onHoldFailed(const WorkerReply &Reply, Instant Now) {
-  this->NextHold = Now.Steady + this->Options.HoldRetry;
+  this->NextHold = Now.Steady + this->Options.HoldRetryInterval;
   if (Reply.Refusal == WorkerRefusal::Fenced) {
     this->raiseToken(Now);
     return;
   }
-  this->InDoubt = true;
+  this->LastHoldFailed = true;
   if (!Reply.Answered)
-    this->noteUnanswered(Now);
-  bool Silent = Now.Steady - this->LastAnswer >= this->Options.SilentAfter;
+    this->recordLostCall(Now);
+  bool Silent = Now.Steady - this->LastAnswer >= this->Options.SilenceTimeout;
   if (!this->Answering || !Silent)
     return;
   this->Answering = false;
@@ -390,14 +403,14 @@
   this->Events.onWorkerSilent(Now);
 }
 
-void WorkerSession::adoptStrangers(const WorkerReply &Reply, Instant Now) {
-  this->Strangers.clear();
+void WorkerSession::stopOrphanedRuns(const WorkerReply &Reply, Instant Now) {
+  this->OrphanedRuns.clear();
   for (const RunKey &Key : Reply.Running)
-    this->callStop(Key, this->Strangers[Key], Now);
-  bool Unknown = this->mayHaveUnknownRuns(Reply, Now);
-  if (Unknown || !this->Strangers.empty())
+    this->sendStop(Key, this->OrphanedRuns[Key], Now);
+  bool Unknown = this->mayHaveUnreadableRuns(Reply, Now);
+  if (Unknown || !this->OrphanedRuns.empty())
     return;
-  this->settleInherited(Now);
+  this->settleInheritedRuns(Now);
   this->Ready = true;
   this->Log.decision("worker_ready", {{"worker", this->Profile->Id},
                                       {"fencing_token", this->Token}});
@@ -405,30 +418,32 @@
     this->Events.onWorkerReady(Now);
 }
 
-bool WorkerSession::mayHaveUnknownRuns(const WorkerReply &Reply, Instant Now) {
-  if (Reply.BadRunning == 0)
+bool WorkerSession::mayHaveUnreadableRuns(const WorkerReply &Reply,
+                                          Instant Now) {
+  if (Reply.UnreadableRunning == 0)
     return false;
-  if (!this->BadRunningSince)
-    this->BadRunningSince = Now.Steady;
-  // They cannot be stopped by name, and would go on under the leases that a
-  // ready worker is given. Without any, they lapse.
-  return Now.Steady - *this->BadRunningSince <
-         this->Options.Lease + this->Options.LapseSlack;
+  if (!this->UnreadableRunningSince)
+    this->UnreadableRunningSince = Now.Steady;
+  // Such runs cannot be stopped by name and would live on with the leases that
+  // a ready worker is given. Without further leases they end when the last one
+  // expires.
+  return Now.Steady - *this->UnreadableRunningSince <
+         this->Options.Lease + this->Options.LeaseExpiryMargin;
 }
 
 void WorkerSession::tick(Instant Now) {
   if (!this->Profile)
     return;
-  if (this->HoldsOut == 0 && Now.Steady >= this->NextHold)
-    this->callHold(this->holdWait(Now), Now);
+  if (this->PendingHolds == 0 && Now.Steady >= this->NextHold)
+    this->sendHold(this->holdWait(Now), Now);
   this->renewIfDue(Now);
-  bool HasRuns = !this->Runs.empty() || !this->Inherited.empty();
-  bool Lapsed = this->InDoubt && HasRuns &&
-                Now.Steady >= this->LeaseEnds + this->Options.LapseSlack;
+  bool HasRuns = !this->Runs.empty() || !this->InheritedRuns.empty();
+  bool Lapsed = this->LastHoldFailed && HasRuns &&
+                Now.Steady >= this->LeaseEnds + this->Options.LeaseExpiryMargin;
   if (Lapsed) {
     for (const auto &[Key, Known] : this->Runs)
-      this->LapsedUnheard[Key] = Known.CalledAt;
-    this->lapseAll(Now);
+      this->LapsedWhileSilent[Key] = Known.StartTime;
+    this->lapseAllRuns(Now);
   }
   this->tickRuns(Now);
 }
@@ -439,11 +454,11 @@
     if (Now.Steady >= Known.StoppedAt)
       Stopped.push_back(Key);
     else if (Known.State == Phase::Stopping && Now.Steady >= Known.NextStop)
-      this->callStop(Key, Known, Now);
+      this->sendStop(Key, Known, Now);
   }
   for (const RunKey &Key : Stopped) {
-    bool Unread = this->Runs.at(Key).EndUnread;
-    this->end(Key, Unread ? RunEnd::Other : RunEnd::Unanswered, Now);
+    bool Unread = this->Runs.at(Key).EndUnreadable;
+    this->end(Key, Unread ? RunOutcome::Other : RunOutcome::Unanswered, Now);
   }
 }
 
--- a/emulator/leased_agent.h
+++ b/emulator/leased_agent.h
@@ -54,7 +54,7 @@
                    std::chrono::milliseconds Late);
 
   void attach(const WorkerProfile &New) override {
-    this->Attached = New.life();
+    this->Attached = New.workerIncarnation();
   }
   void start(const StartCall &Call) override;
   void stop(const StopCall &Call) override;
@@ -82,7 +82,7 @@
   std::mt19937_64 Random;
   VirtualWorker Worker;
   /// The life of the worker that the agent speaks to.
-  WorkerLife Attached;
+  WorkerIncarnation Attached;
   std::uint64_t Life = 0;
   WorkerCallFaults Faults;
   std::unique_ptr<LeaseKeeper> Keeper;
--- a/entry/job_runner.cpp
+++ b/entry/job_runner.cpp
@@ -383,7 +383,7 @@
     return;
   // A rejection for stale load data costs no retry, since the reply carried
   // newer data.
-  if (Update.reason() == StaleNews)
+  if (Update.reason() == StaleLoad)
     TargetPool.Queue.push(Owner.Request.Workspace, Owner.Rank, Owner.Number,
                           Index);
   else
--- a/tests/agent/keeper_fixture.h
+++ b/tests/agent/keeper_fixture.h
@@ -1,7 +1,7 @@
-//===- tests/agent/keeper_fixture.h - An agent with a worker ----*- C++ -*-===//
+//===- tests/agent/keeper_fixture.h - Lease keeper fixture ------*- C++ -*-===//
 ///
 /// \file
-/// A lease keeper between entries and a worker of the test's, in virtual time.
+/// Runs a lease keeper between entries and a fake worker, in virtual time.
 ///
 //===----------------------------------------------------------------------===//
 #ifndef YARDWHEEL_TESTS_AGENT_KEEPER_FIXTURE_H
@@ -17,8 +17,8 @@
 
 namespace yardwheel {
 
-/// A worker that starts what it is told to and ends it when a test says so.
-class ObedientPort final : public WorkerPort {
+/// A worker that accepts all starts and ends runs when a test says so.
+class FakeWorkerPort final : public WorkerPort {
 public:
   void attach(const WorkerProfile &) override {}
   void start(const StartCall &Call) override { this->Starts.push_back(Call); }
@@ -29,11 +29,11 @@
   }
   std::vector<StartCall> Starts;
   std::vector<StopCall> Stops;
-  /// The longest lease that a call for ends has brought.
+  /// The longest lease that a hold call has carried.
   WorkerTime LeaseUntil{};
 };
 
-/// A worker's answer to a call that has nothing to tell.
+/// A worker's successful reply that reports nothing.
 inline WorkerReply plainReply() {
   WorkerReply Reply;
   Reply.Answered = true;
@@ -55,26 +55,26 @@
   peer::WorkerLoad Load;
 };
 
-/// The agent's own life, by which messages name it.
-constexpr std::uint64_t AgentLife = 7;
+/// The agent's incarnation, which messages must name.
+constexpr std::uint64_t AgentIncarnation = 7;
 inline const PeerRef EntryA{"entry-a", "10.0.0.1:1"};
 inline const PeerRef EntryB{"entry-b", "10.0.0.2:1"};
-inline constexpr std::chrono::milliseconds TickEvery{20};
+inline constexpr std::chrono::milliseconds TickInterval{20};
 inline const std::string WorkerId("w");
 
-/// \param CountFromEcho Whether leases count from the stamp that an entry
-/// echoes, as they should, or from its message's arrival.
-inline KeeperOptions optionsWith(bool CountFromEcho) {
+/// \param FromStamp Whether leases count from the stamp that an entry echoes,
+/// as they should, or from the arrival of its message.
+inline KeeperOptions optionsWith(bool FromStamp) {
   KeeperOptions Options;
-  Options.Incarnation = AgentLife;
-  Options.LeasesCountFromEcho = CountFromEcho;
+  Options.Incarnation = AgentIncarnation;
+  Options.LeasesCountFromStamp = FromStamp;
   return Options;
 }
 
-/// The group of all tests of the keeper.
+/// Base of all test groups for the keeper.
 class KeeperFixture : public Utest {
 public:
-  ObedientPort Port;
+  FakeWorkerPort Port;
   CollectingSink Sink;
   std::uint64_t LastOrder = 0;
   Instant Now{TimePoint(std::chrono::hours(1)), fromUnixMillis(1800000000000)};
@@ -97,7 +97,7 @@
     peer::Message Message;
     peer::LeasedDispatch *Order = Message.mutable_leased_dispatch();
     Order->set_job(Job);
-    Order->set_agent_incarnation(AgentLife);
+    Order->set_agent_incarnation(AgentIncarnation);
     Order->set_stamp(Stamp);
     Order->set_start_by_ms(StartByMs);
     Order->set_give_up_ms(2000);
@@ -113,12 +113,12 @@
   peer::Message interest(const std::string &Job, std::uint32_t Tasks,
                          std::int32_t StartByMs) {
     peer::Message Message;
-    peer::LeasedInterest *Told = Message.mutable_leased_interest();
-    Told->set_job(Job);
-    Told->set_agent_incarnation(AgentLife);
-    Told->mutable_needs()->set_cpu_milli(1000);
-    Told->set_tasks(Tasks);
-    Told->set_start_by_ms(StartByMs);
+    peer::LeasedInterest *Interest = Message.mutable_leased_interest();
+    Interest->set_job(Job);
+    Interest->set_agent_incarnation(AgentIncarnation);
+    Interest->mutable_needs()->set_cpu_milli(1000);
+    Interest->set_tasks(Tasks);
+    Interest->set_start_by_ms(StartByMs);
     return Message;
   }
   peer::Message decline(std::uint64_t Offer) {
@@ -126,11 +126,11 @@
     Message.mutable_offer_reply()->set_offer(Offer);
     return Message;
   }
-  /// Names all placements so far.
+  /// Renews all placements made so far.
   peer::Message renewal(std::uint64_t Stamp) {
     peer::Message Message;
     peer::LeaseRenewal *Renewal = Message.mutable_lease_renewal();
-    Renewal->set_agent_incarnation(AgentLife);
+    Renewal->set_agent_incarnation(AgentIncarnation);
     Renewal->set_stamp(Stamp);
     for (std::uint64_t Order = 1; Order <= this->LastOrder; ++Order)
       Renewal->add_orders(Order);
@@ -138,15 +138,16 @@
   }
   std::uint64_t stamp() { return LeaseKeeper::stampAt(this->Now); }
   void pass(LeaseKeeper &Keeper, std::chrono::milliseconds Time) {
-    for (std::chrono::milliseconds Step{}; Step < Time; Step += TickEvery) {
-      this->Now.Steady += TickEvery;
+    for (std::chrono::milliseconds Step{}; Step < Time; Step += TickInterval) {
+      this->Now.Steady += TickInterval;
       Keeper.tick(this->Now);
     }
   }
-  void end(LeaseKeeper &Keeper, std::size_t Start, RunEnd How) {
+  void end(LeaseKeeper &Keeper, std::size_t Start, RunOutcome Outcome) {
     WorkerReply Reply;
     Reply.Answered = true;
-    Reply.Ended.push_back({++this->Ends, this->Port.Starts[Start].Run, How});
+    Reply.Ended.push_back(
+        {++this->Ends, this->Port.Starts[Start].Run, Outcome});
     Keeper.session().onHoldReply({WorkerId}, Reply, this->Now);
   }
   std::uint64_t Ends = 0;
--- a/tests/agent/keeper_news_test.cpp
+++ b/tests/agent/keeper_updates_test.cpp
@@ -6,22 +6,22 @@
 using namespace yardwheel;
 using namespace std::chrono_literals;
 
-// What the keeper tells entries: ends of runs, and room that falls free.
-TEST_GROUP_BASE(KeeperNewsTest, KeeperFixture){};
+// What the keeper sends to entries: ends of runs and offers of free room.
+TEST_GROUP_BASE(KeeperUpdatesTest, KeeperFixture){};
 
-// An entry answers only when all tasks of a job are done.
-TEST(KeeperNewsTest, EndsOfOneJobAreToldTogetherAndTheLastAtOnce) {
+// An entry answers its caller only when all tasks of a job are done.
+TEST(KeeperUpdatesTest, EndsOfOneJobAreSentTogetherWithTheLast) {
   LeaseKeeper Keeper(optionsWith(true), Sink, Port);
   attach(Keeper);
   Keeper.onMessage(EntryA, dispatch("j", stamp(), 1000, 100, 3), Now);
-  end(Keeper, 0, RunEnd::Done);
-  end(Keeper, 1, RunEnd::Done);
+  end(Keeper, 0, RunOutcome::Done);
+  end(Keeper, 1, RunOutcome::Done);
   LONGS_EQUAL(0, Sink.Updates.size());
-  end(Keeper, 2, RunEnd::Done);
+  end(Keeper, 2, RunOutcome::Done);
   LONGS_EQUAL(3, Sink.Updates.size());
 }
 
-TEST(KeeperNewsTest, AnEndThatWaitsForOthersIsToldSoonAnyhow) {
+TEST(KeeperUpdatesTest, AnEndHeldBackIsSentSoonAnyway) {
   struct Row {
     const char *Name;
     std::function<void(LeaseKeeper &)> Prompt;
@@ -30,7 +30,7 @@
   const Row Rows[] = {
       {"time", [&](LeaseKeeper &Keeper) { pass(Keeper, 60ms); }, 1},
       {"a failure",
-       [&](LeaseKeeper &Keeper) { end(Keeper, 1, RunEnd::Failed); }, 2},
+       [&](LeaseKeeper &Keeper) { end(Keeper, 1, RunOutcome::Failed); }, 2},
       {"a renewal",
        [&](LeaseKeeper &Keeper) {
          Keeper.onMessage(EntryA, renewal(stamp()), Now);
@@ -42,7 +42,7 @@
     LeaseKeeper Keeper(optionsWith(true), Sink, Port);
     attach(Keeper);
     Keeper.onMessage(EntryA, dispatch("j", stamp(), 1000, 100, 3), Now);
-    end(Keeper, 0, RunEnd::Done);
+    end(Keeper, 0, RunOutcome::Done);
     LONGS_EQUAL_TEXT(0, Sink.Updates.size(), Row.Name);
     Row.Prompt(Keeper);
     LONGS_EQUAL_TEXT(Row.Updates, Sink.Updates.size(), Row.Name);
@@ -50,11 +50,11 @@
   }
 }
 
-TEST(KeeperNewsTest, UpdatesAreToldAgainWhileTheirEntryRenewsItsLease) {
+TEST(KeeperUpdatesTest, LostUpdatesAreResentWhileTheEntryRenewsItsLease) {
   LeaseKeeper Keeper(optionsWith(true), Sink, Port);
   attach(Keeper);
   Keeper.onMessage(EntryA, dispatch("j", stamp()), Now);
-  end(Keeper, 0, RunEnd::Done);
+  end(Keeper, 0, RunOutcome::Done);
   auto Sent = std::make_shared<peer::Envelope>();
   *Sent->add_messages()->mutable_leased_update() = Sink.Updates.back();
   Sent->add_messages()->mutable_worker_load();
@@ -68,25 +68,25 @@
   LONGS_EQUAL(2, Sink.Updates.size());
 }
 
-TEST(KeeperNewsTest, EveryEndIsToldOnce) {
+TEST(KeeperUpdatesTest, EveryEndIsReportedOnce) {
   struct Row {
-    RunEnd How;
+    RunOutcome Outcome;
     peer::LeasedEvent Expected;
     peer::LeasedRefusal Blame = peer::REFUSAL_NONE;
   };
   const Row Rows[] = {
-      {RunEnd::Done, peer::LEASED_DONE},
-      {RunEnd::Failed, peer::LEASED_FAILED},
-      {RunEnd::Stopped, peer::LEASED_ENDED_EARLY},
-      {RunEnd::Lapsed, peer::LEASED_ENDED_EARLY},
-      {RunEnd::Unanswered, peer::LEASED_ENDED_EARLY, peer::REFUSAL_WORKER},
-      {RunEnd::Other, peer::LEASED_ENDED_EARLY}};
+      {RunOutcome::Done, peer::LEASED_DONE},
+      {RunOutcome::Failed, peer::LEASED_FAILED},
+      {RunOutcome::Stopped, peer::LEASED_ENDED_EARLY},
+      {RunOutcome::Lapsed, peer::LEASED_ENDED_EARLY},
+      {RunOutcome::Unanswered, peer::LEASED_ENDED_EARLY, peer::REFUSAL_WORKER},
+      {RunOutcome::Other, peer::LEASED_ENDED_EARLY}};
   LeaseKeeper Keeper(optionsWith(true), Sink, Port);
   attach(Keeper);
   std::size_t Start = 0;
   for (const Row &Row : Rows) {
     Keeper.onMessage(EntryA, dispatch("j", stamp()), Now);
-    end(Keeper, Start++, Row.How);
+    end(Keeper, Start++, Row.Outcome);
     LONGS_EQUAL(Start, Sink.Updates.size());
     CHECK(Sink.Updates.back().event() == Row.Expected);
     CHECK(Sink.Updates.back().refusal() == Row.Blame);
@@ -95,7 +95,7 @@
   }
 }
 
-TEST(KeeperNewsTest, FreedRoomIsOfferedToTheMostUrgentThatWaitElsewhere) {
+TEST(KeeperUpdatesTest, FreedRoomIsOfferedToTheMostUrgentInterest) {
   LeaseKeeper Keeper(optionsWith(true), Sink, Port);
   attach(Keeper, 2000);
   Keeper.onMessage(EntryA, dispatch("long", stamp(), 1000, 500, 2), Now);
@@ -103,10 +103,10 @@
   Keeper.onMessage(EntryB, interest("later", 1, 90), Now);
   Keeper.onMessage(EntryB, interest("urgent", 1, 80), Now);
   LONGS_EQUAL(0, Sink.Offers.size());
-  end(Keeper, 0, RunEnd::Done);
+  end(Keeper, 0, RunOutcome::Done);
   LONGS_EQUAL(1, Sink.Offers.size());
   STRCMP_EQUAL("urgent", Sink.Offers[0].job().c_str());
-  // Its room is held: nothing else starts in it.
+  // Its room is reserved: nothing else starts in it.
   LONGS_EQUAL(2, Port.Starts.size());
   peer::Message Order = dispatch("urgent", stamp(), 1000, 80, 1);
   Order.mutable_leased_dispatch()->set_offer(Sink.Offers[0].offer());
@@ -116,7 +116,7 @@
   STRCMP_EQUAL("urgent", Port.Starts[2].Run.Job.c_str());
 }
 
-TEST(KeeperNewsTest, OfferedRoomThatIsNotTakenUpIsUsedByOthers) {
+TEST(KeeperUpdatesTest, OfferedRoomThatIsNotUsedIsReleased) {
   struct Row {
     const char *Name;
     bool Declined;
@@ -137,15 +137,15 @@
     else
       pass(Keeper, 100ms);
     LONGS_EQUAL_TEXT(1, Port.Starts.size(), Row.Name);
-    // Whoever declines has no more tasks that wait.
+    // An entry that declines has no more tasks waiting.
     if (Row.Declined)
       LONGS_EQUAL_TEXT(1, Sink.Offers.size(), Row.Name);
   }
 }
 
-// Offers are numbered anew in each life of an agent, and two entries may have
-// the same job.
-TEST(KeeperNewsTest, AnEntryAnswersOnlyForItsOwnOffersAndJobs) {
+// Offer numbers start over with each incarnation of an agent, and two entries
+// may have the same job.
+TEST(KeeperUpdatesTest, AnEntryRepliesOnlyForItsOwnOffersAndJobs) {
   struct Row {
     const char *Name;
     PeerRef From;
@@ -163,14 +163,14 @@
     Keeper.onMessage(EntryA, dispatch("queued", stamp(), 1000, 800, 1), Now);
     Keeper.onMessage(Row.From, decline(Sink.Offers[0].offer()), Now);
     LONGS_EQUAL_TEXT(Row.Starts, Port.Starts.size(), Row.Name);
-    // Nor does it say that another's tasks wait no longer.
+    // It cannot withdraw the interest of another entry either.
     Keeper.onMessage(Row.From, interest("urgent", 0, 0), Now);
     pass(Keeper, 40ms);
     LONGS_EQUAL_TEXT(Row.Offers, Sink.Offers.size(), Row.Name);
   }
 }
 
-TEST(KeeperNewsTest, ALeavingAgentOffersNoRoom) {
+TEST(KeeperUpdatesTest, ALeavingAgentOffersNoRoom) {
   LeaseKeeper Keeper(optionsWith(true), Sink, Port);
   attach(Keeper, 1000);
   Keeper.leave("test", Now);
--- a/tests/agent/lease_keeper_test.cpp
+++ b/tests/agent/lease_keeper_test.cpp
@@ -10,7 +10,7 @@
 
 TEST_GROUP_BASE(LeaseKeeperTest, KeeperFixture){};
 
-TEST(LeaseKeeperTest, RunsStopWhenTheirEntryFallsSilent) {
+TEST(LeaseKeeperTest, RunsStopWhenTheirEntryBecomesSilent) {
   LeaseKeeper Keeper(optionsWith(true), Sink, Port);
   attach(Keeper);
   Keeper.onMessage(EntryA, dispatch("j", stamp()), Now);
@@ -21,7 +21,7 @@
   LONGS_EQUAL(1, Port.Stops.size());
 }
 
-TEST(LeaseKeeperTest, ARenewalKeepsRunsAndTellsTheNewStamp) {
+TEST(LeaseKeeperTest, ARenewalKeepsRunsAndReturnsANewStamp) {
   LeaseKeeper Keeper(optionsWith(true), Sink, Port);
   attach(Keeper);
   Keeper.onMessage(EntryA, dispatch("j", stamp()), Now);
@@ -33,42 +33,43 @@
   LONGS_EQUAL(0, Port.Stops.size());
 }
 
-// A restarted entry knows nothing of what it sent before, and renews its lease
-// here for other jobs. The callers of the old ones have them run elsewhere.
-TEST(LeaseKeeperTest, ARestartedEntryKeepsNothingOfItsEarlierLife) {
+// A restarted entry does not know what it sent before, and renews its lease
+// here for other jobs. The callers of the old jobs have them run elsewhere.
+TEST(LeaseKeeperTest, ARestartedEntryKeepsNoRunsOfItsEarlierIncarnation) {
   struct Row {
     const char *Name;
-    std::uint64_t Life;
+    std::uint64_t Incarnation;
     std::size_t Stops;
   };
-  const Row Rows[] = {{"the same life", 5, 0},
-                      {"a later life", 6, 1},
-                      {"a later life after its clock was set back", 4, 1}};
+  const Row Rows[] = {
+      {"the same incarnation", 5, 0},
+      {"a later incarnation", 6, 1},
+      {"a later incarnation after its clock was set back", 4, 1}};
   for (const Row &Row : Rows) {
     Port.Stops.clear();
     LeaseKeeper Keeper(optionsWith(true), Sink, Port);
     attach(Keeper);
     const PeerRef Before{EntryA.Node, EntryA.Address, 5};
-    const PeerRef After{EntryA.Node, EntryA.Address, Row.Life};
+    const PeerRef After{EntryA.Node, EntryA.Address, Row.Incarnation};
     Keeper.onMessage(Before, dispatch("j", stamp()), Now);
     Keeper.onMessage(EntryB, dispatch("other", stamp()), Now);
     pass(Keeper, 200ms);
-    // Another role of the node, with a life of its own.
+    // Another role on the same node, with its own incarnation.
     Keeper.onMessage({EntryA.Node, EntryA.Address, 99}, peer::Message(), Now);
     LONGS_EQUAL_TEXT(0, Port.Stops.size(), Row.Name);
     Keeper.onMessage(After, renewal(stamp()), Now);
     LONGS_EQUAL_TEXT(Row.Stops, Port.Stops.size(), Row.Name);
-    // What it sends now is its own.
+    // What it sends now belongs to its new incarnation.
     Keeper.onMessage(After, dispatch("new", stamp()), Now);
     Keeper.onMessage(After, renewal(stamp()), Now);
     LONGS_EQUAL_TEXT(Row.Stops, Port.Stops.size(), Row.Name);
   }
 }
 
-// A renewal that was held up on its way was sent by an entry that may be gone
-// since: counted from its arrival it would keep runs alive past the time at
-// which the caller may have them started elsewhere.
-TEST(LeaseKeeperTest, AHeldUpRenewalExtendsNoLease) {
+// The sender of a delayed renewal may be gone by the time it arrives. Counted
+// from its arrival, the renewal would keep runs alive past the time at which
+// the caller may have them started elsewhere.
+TEST(LeaseKeeperTest, ADelayedRenewalExtendsNoLease) {
   LeaseKeeper Keeper(optionsWith(true), Sink, Port);
   attach(Keeper);
   std::uint64_t Sent = stamp();
@@ -79,7 +80,7 @@
   LONGS_EQUAL(1, Port.Stops.size());
 }
 
-TEST(LeaseKeeperTest, CountedFromArrivalAHeldUpRenewalWouldExtendIt) {
+TEST(LeaseKeeperTest, CountedFromArrivalADelayedRenewalWouldExtendTheLease) {
   LeaseKeeper Keeper(optionsWith(false), Sink, Port);
   attach(Keeper);
   std::uint64_t Sent = stamp();
@@ -90,7 +91,7 @@
   LONGS_EQUAL(0, Port.Stops.size());
 }
 
-TEST(LeaseKeeperTest, ADispatchOnOldNewsStartsNothingAndSaysSo) {
+TEST(LeaseKeeperTest, ADispatchWithAnOldStampIsRefused) {
   LeaseKeeper Keeper(optionsWith(true), Sink, Port);
   attach(Keeper);
   std::uint64_t Sent = stamp();
@@ -100,13 +101,13 @@
   LONGS_EQUAL(1, Sink.Updates.size());
   CHECK(Sink.Updates[0].event() == peer::LEASED_NOT_STARTED);
   CHECK(Sink.Updates[0].refusal() == peer::REFUSAL_STALE);
-  // With the stamp that came back, the next one is taken.
+  // The next dispatch, with the stamp from the refusal, is accepted.
   Keeper.onMessage(EntryA, dispatch("j", Sink.Updates[0].load().stamp()), Now);
   LONGS_EQUAL(1, Port.Starts.size());
 }
 
-// A renewal takes a round trip to bring a new stamp: what is taken on a stamp
-// that is nearly too old would lapse before.
+// A renewal takes a round trip to bring a new stamp. A task accepted with a
+// stamp that is nearly too old would lapse before that.
 TEST(LeaseKeeperTest, ADispatchThatLeavesNoTimeForARenewalIsRefused) {
   LeaseKeeper Keeper(optionsWith(true), Sink, Port);
   attach(Keeper);
@@ -126,7 +127,7 @@
   CHECK(Sink.Updates.back().refusal() == peer::REFUSAL_OTHER_OWNER);
 }
 
-TEST(LeaseKeeperTest, ADoubledDispatchStartsOnce) {
+TEST(LeaseKeeperTest, ADuplicateDispatchStartsOnce) {
   LeaseKeeper Keeper(optionsWith(true), Sink, Port);
   attach(Keeper);
   peer::Message Order = dispatch("j", stamp());
@@ -136,7 +137,7 @@
   LONGS_EQUAL(0, Sink.Updates.size());
 }
 
-TEST(LeaseKeeperTest, RoomBoundsWhatRunsAndUrgentTasksGoFirst) {
+TEST(LeaseKeeperTest, RoomLimitsRunsAndUrgentTasksGoFirst) {
   LeaseKeeper Keeper(optionsWith(true), Sink, Port);
   attach(Keeper, 2000);
   Keeper.onMessage(EntryA, dispatch("full", stamp(), 1000, 500, 2), Now);
@@ -146,15 +147,15 @@
   LONGS_EQUAL(2, Port.Starts.size());
   const char *Expected[] = {"urgent", "calm", "late"};
   for (std::size_t I = 0; I < 3; ++I) {
-    end(Keeper, I, RunEnd::Done);
+    end(Keeper, I, RunOutcome::Done);
     LONGS_EQUAL(3 + I, Port.Starts.size());
     STRCMP_EQUAL(Expected[I], Port.Starts.back().Run.Job.c_str());
   }
 }
 
-// The entry has sent it where it believes that it starts at once, and asks
-// another agent sooner than it would start here.
-TEST(LeaseKeeperTest, WhatMustNotWaitIsRefusedAtOnceWhereItDoesNotFit) {
+// The entry expects these tasks to start at once here, and can ask another
+// agent sooner than they would start here.
+TEST(LeaseKeeperTest, StartOrRefuseRefusesTasksThatDoNotFit) {
   LeaseKeeper Keeper(optionsWith(true), Sink, Port);
   attach(Keeper, 2000);
   Keeper.onMessage(EntryA, dispatch("runs", stamp()), Now);
@@ -162,7 +163,7 @@
   peer::Message Order = dispatch("j", stamp(), 1000, 50, 3);
   Order.mutable_leased_dispatch()->set_start_or_refuse(true);
   Keeper.onMessage(EntryA, Order, Now);
-  // One of the three fits, as the first in order does.
+  // One of the three tasks fits, since it is first in the queue's order.
   LONGS_EQUAL(2, Port.Starts.size());
   LONGS_EQUAL(2, Sink.Updates.size());
   for (const peer::LeasedUpdate &Update : Sink.Updates) {
@@ -173,18 +174,19 @@
   LONGS_EQUAL(1, Keeper.queued());
 }
 
-// An entry that misses a receipt cannot know whether its dispatch arrived.
-TEST(LeaseKeeperTest, ADispatchThatIsSentAgainStartsNothingAgain) {
+// An entry that does not get a receipt cannot know whether its dispatch
+// arrived.
+TEST(LeaseKeeperTest, AResentDispatchStartsNothingAgain) {
   struct Row {
     const char *Name;
-    RunEnd How;
+    RunOutcome Outcome;
     bool Ends;
     bool Leaves;
   };
-  const Row Rows[] = {{"it runs", RunEnd::Done, false, false},
-                      {"it is done", RunEnd::Done, true, false},
-                      {"it has failed", RunEnd::Failed, true, false},
-                      {"it was not started", RunEnd::Done, false, true}};
+  const Row Rows[] = {{"it runs", RunOutcome::Done, false, false},
+                      {"it is done", RunOutcome::Done, true, false},
+                      {"it has failed", RunOutcome::Failed, true, false},
+                      {"it was not started", RunOutcome::Done, false, true}};
   for (const Row &Row : Rows) {
     Port.Starts.clear();
     LeaseKeeper Keeper(optionsWith(true), Sink, Port);
@@ -195,15 +197,15 @@
     Keeper.onMessage(EntryA, Order, Now);
     std::size_t Starts = Row.Leaves ? 0 : 1;
     if (Row.Ends)
-      end(Keeper, 0, Row.How);
-    std::size_t Told = Sink.Updates.size();
+      end(Keeper, 0, Row.Outcome);
+    std::size_t UpdatesBefore = Sink.Updates.size();
     Keeper.onMessage(EntryA, Order, Now);
     LONGS_EQUAL_TEXT(Starts, Port.Starts.size(), Row.Name);
-    LONGS_EQUAL_TEXT(Told, Sink.Updates.size(), Row.Name);
+    LONGS_EQUAL_TEXT(UpdatesBefore, Sink.Updates.size(), Row.Name);
   }
 }
 
-TEST(LeaseKeeperTest, AnswersToRenewalsListWhatTheAskingEntryHasHere) {
+TEST(LeaseKeeperTest, RepliesToRenewalsListThePlacementsOfTheEntry) {
   LeaseKeeper Keeper(optionsWith(true), Sink, Port);
   attach(Keeper, 1000);
   Keeper.onMessage(EntryA, dispatch("runs", stamp()), Now);
@@ -212,60 +214,61 @@
   Keeper.onMessage(EntryA, renewal(stamp()), Now);
   CHECK(Sink.Load.lists_held());
   LONGS_EQUAL(2, Sink.Load.held_orders_size());
-  end(Keeper, 0, RunEnd::Done);
+  end(Keeper, 0, RunOutcome::Done);
   Keeper.onMessage(EntryA, renewal(stamp()), Now);
   LONGS_EQUAL(1, Sink.Load.held_orders_size());
   LONGS_EQUAL(LastOrder, Sink.Load.held_orders(0));
 }
 
-// Entries must not take what they hear of one life for news of another.
-TEST(LeaseKeeperTest, EachLifeOfTheWorkerHasANumberOfItsOwn) {
+// Entries must not mistake reports about one incarnation for those about
+// another.
+TEST(LeaseKeeperTest, EachWorkerIncarnationHasItsOwnNumber) {
   LeaseKeeper Keeper(optionsWith(true), Sink, Port);
   attach(Keeper);
-  LONGS_EQUAL(AgentLife, Keeper.incarnation());
+  LONGS_EQUAL(AgentIncarnation, Keeper.incarnation());
   Keeper.leave("test", Now);
   WorkerProfile Next;
   Next.Id = "w2";
   Keeper.onProfile(Next, Now);
-  LONGS_EQUAL(AgentLife, Keeper.incarnation());
+  LONGS_EQUAL(AgentIncarnation, Keeper.incarnation());
   WorkerReply Gone;
   Gone.Answered = true;
-  Gone.Refusal = WorkerRefusal::OtherLife;
+  Gone.Refusal = WorkerRefusal::OtherIncarnation;
   Keeper.session().onHoldReply({WorkerId}, Gone, Now);
-  LONGS_EQUAL(AgentLife + 1, Keeper.incarnation());
+  LONGS_EQUAL(AgentIncarnation + 1, Keeper.incarnation());
   CHECK_FALSE(Keeper.isLeaving());
 }
 
-TEST(LeaseKeeperTest, AnOutrankedAgentTakesAHigherIncarnation) {
+TEST(LeaseKeeperTest, AnAgentRaisesItsIncarnationAboveAKnownOne) {
   LeaseKeeper Keeper(optionsWith(true), Sink, Port);
   attach(Keeper);
-  Keeper.outrank(AgentLife - 1);
-  LONGS_EQUAL(AgentLife, Keeper.incarnation());
-  Keeper.outrank(AgentLife + 5);
-  LONGS_EQUAL(AgentLife + 6, Keeper.incarnation());
-  Keeper.outrank(AgentLife + 5);
-  LONGS_EQUAL(AgentLife + 6, Keeper.incarnation());
+  Keeper.raiseIncarnationAbove(AgentIncarnation - 1);
+  LONGS_EQUAL(AgentIncarnation, Keeper.incarnation());
+  Keeper.raiseIncarnationAbove(AgentIncarnation + 5);
+  LONGS_EQUAL(AgentIncarnation + 6, Keeper.incarnation());
+  Keeper.raiseIncarnationAbove(AgentIncarnation + 5);
+  LONGS_EQUAL(AgentIncarnation + 6, Keeper.incarnation());
 }
 
 TEST(LeaseKeeperTest, FailuresInARowAreCountedUntilARunIsDone) {
   struct Row {
-    RunEnd How;
+    RunOutcome Outcome;
     std::uint32_t Expected;
   };
-  const Row Rows[] = {{RunEnd::Failed, 1},  {RunEnd::Unanswered, 2},
-                      {RunEnd::Stopped, 2}, {RunEnd::Lapsed, 2},
-                      {RunEnd::Done, 0},    {RunEnd::Failed, 1}};
+  const Row Rows[] = {{RunOutcome::Failed, 1},  {RunOutcome::Unanswered, 2},
+                      {RunOutcome::Stopped, 2}, {RunOutcome::Lapsed, 2},
+                      {RunOutcome::Done, 0},    {RunOutcome::Failed, 1}};
   LeaseKeeper Keeper(optionsWith(true), Sink, Port);
   attach(Keeper);
   std::size_t Start = 0;
   for (const Row &Row : Rows) {
     Keeper.onMessage(EntryA, dispatch("j", stamp()), Now);
-    end(Keeper, Start++, Row.How);
+    end(Keeper, Start++, Row.Outcome);
     LONGS_EQUAL(Row.Expected, Sink.Updates.back().load().failures_in_row());
   }
 }
 
-TEST(LeaseKeeperTest, ALeavingWorkerGetsNothingAndGivesBackWhatWaits) {
+TEST(LeaseKeeperTest, ALeavingWorkerStartsNothingAndRejectsQueuedTasks) {
   LeaseKeeper Keeper(optionsWith(true), Sink, Port);
   attach(Keeper, 1000);
   Keeper.onMessage(EntryA, dispatch("runs", stamp()), Now);
@@ -276,13 +279,13 @@
   Keeper.onProfile(Draining, Now);
   LONGS_EQUAL(1, Sink.Updates.size());
   CHECK(Sink.Updates[0].refusal() == peer::REFUSAL_LEAVING);
-  end(Keeper, 0, RunEnd::Done);
+  end(Keeper, 0, RunOutcome::Done);
   Keeper.onMessage(EntryA, dispatch("new", stamp()), Now);
   CHECK(Sink.Updates.back().refusal() == peer::REFUSAL_LEAVING);
   LONGS_EQUAL(1, Port.Starts.size());
 }
 
-TEST(LeaseKeeperTest, AStalledRunIsStoppedOnlyIfItHasRunForSoLong) {
+TEST(LeaseKeeperTest, AStalledRunIsStoppedOnlyAfterTheGivenTime) {
   LeaseKeeper Keeper(optionsWith(true), Sink, Port);
   attach(Keeper);
   Keeper.onMessage(EntryA, dispatch("j", stamp(), 1000, 100, 2), Now);
@@ -299,7 +302,7 @@
   LONGS_EQUAL(1, Port.Stops[0].Run.Index);
 }
 
-TEST(LeaseKeeperTest, AStopProvesThatWhatWaitsHasNotStarted) {
+TEST(LeaseKeeperTest, AStopRejectsQueuedTasksAsNotStarted) {
   LeaseKeeper Keeper(optionsWith(true), Sink, Port);
   attach(Keeper, 1000);
   Keeper.onMessage(EntryA, dispatch("j", stamp(), 1000, 100, 2), Now);
--- a/tests/agent/session_recorders.h
+++ b/tests/agent/session_recorders.h
@@ -1,7 +1,7 @@
-//===- tests/agent/session_recorders.h - What a session does ----*- C++ -*-===//
+//===- tests/agent/session_recorders.h - Session doubles --------*- C++ -*-===//
 ///
 /// \file
-/// Records the calls of a worker session, and what it tells its agent.
+/// Record the calls that a worker session makes and the events it reports.
 ///
 //===----------------------------------------------------------------------===//
 #ifndef YARDWHEEL_TESTS_AGENT_SESSION_RECORDERS_H
@@ -18,17 +18,19 @@
 class RecordingPort final : public WorkerPort {
 public:
   void attach(const WorkerProfile &Profile) override {
-    this->Life = Profile.Id;
-    this->Born = Profile.Born;
+    this->Id = Profile.Id;
+    this->StartUnixMs = Profile.StartUnixMs;
   }
   void start(const StartCall &Call) override { this->Starts.push_back(Call); }
   void stop(const StopCall &Call) override { this->Stops.push_back(Call); }
   void hold(const HoldCall &Call) override { this->Holds.push_back(Call); }
-  WorkerLife life() const { return {this->Life, this->Born}; }
+  WorkerIncarnation workerIncarnation() const {
+    return {this->Id, this->StartUnixMs};
+  }
 
-  /// The id of the life that calls go to, and its time of birth.
-  std::string Life;
-  std::optional<std::uint64_t> Born;
+  /// The worker incarnation that calls are directed to.
+  std::string Id;
+  std::optional<std::uint64_t> StartUnixMs;
   std::vector<StartCall> Starts;
   std::vector<StopCall> Stops;
   std::vector<HoldCall> Holds;
@@ -36,11 +38,11 @@
 
 class RecordingEvents final : public SessionEvents {
 public:
-  void onRunRefused(const RunKey &, WorkerRefusal Why, Instant) override {
-    this->Refusals.push_back(Why);
+  void onRunRefused(const RunKey &, WorkerRefusal Cause, Instant) override {
+    this->Refusals.push_back(Cause);
   }
-  void onRunEnded(const RunKey &, RunEnd How, Instant) override {
-    this->Ends.push_back(How);
+  void onRunEnded(const RunKey &, RunOutcome Outcome, Instant) override {
+    this->Ends.push_back(Outcome);
   }
   void onWorkerAttached(Instant) override { ++this->Attached; }
   void onWorkerCrashed(const std::vector<RunKey> &Runs, Instant) override {
@@ -48,12 +50,12 @@
   }
   void onWorkerReady(Instant) override { ++this->Ready; }
   void onWorkerSilent(Instant) override { ++this->Silent; }
-  TimePoint runsEndBy(Instant) const override { return this->EndBy; }
+  TimePoint maxWorkerLeaseEnd(Instant) const override { return this->EndBy; }
 
   TimePoint EndBy = TimePoint::max();
   std::vector<WorkerRefusal> Refusals;
-  std::vector<RunEnd> Ends;
-  /// Of each crash, the number of runs.
+  std::vector<RunOutcome> Ends;
+  /// The number of runs of each crash.
   std::vector<std::size_t> Crashed;
   int Attached = 0;
   int Ready = 0;
--- /dev/null
+++ b/tests/agent/worker_incarnation_test.cpp
@@ -0,0 +1,383 @@
+// A worker may restart under its old id without knowing anything of before: its
+// announcements, numbers of ends, clock and runs start over. Every place that
+// tells incarnations apart must therefore compare the start time as well.
+
+#include "tests/agent/keeper_fixture.h"
+#include "tests/agent/session_recorders.h"
+
+#include <CppUTest/TestHarness.h>
+
+using namespace yardwheel;
+using namespace std::chrono_literals;
+
+namespace {
+
+const char *const Id = "worker";
+constexpr std::uint64_t FirstStartMs = 1800000000000;
+constexpr std::uint64_t SecondStartMs = FirstStartMs + 5000;
+const WorkerIncarnation First{Id, FirstStartMs};
+const WorkerIncarnation Second{Id, SecondStartMs};
+
+WorkerReply replyOf(std::optional<std::uint64_t> StartUnixMs,
+                    WorkerRefusal Refusal = WorkerRefusal::None) {
+  WorkerReply Reply;
+  Reply.Answered = true;
+  Reply.Refusal = Refusal;
+  Reply.StartUnixMs = StartUnixMs;
+  return Reply;
+}
+
+WorkerProfile profileOf(std::optional<std::uint64_t> StartUnixMs,
+                        std::uint64_t Sequence) {
+  WorkerProfile Profile;
+  Profile.Id = Id;
+  Profile.StartUnixMs = StartUnixMs;
+  Profile.Sequence = Sequence;
+  Profile.Clock = WorkerTime(480000);
+  Profile.Room.set_cpu_milli(16000);
+  return Profile;
+}
+
+} // namespace
+
+TEST_GROUP(WorkerIncarnationTest) {
+  RecordingPort Port;
+  RecordingEvents Events;
+  SessionOptions Options;
+  WorkerSession Session{SessionOptions(), Port, Events};
+  Instant Now{TimePoint(1h), fromUnixMillis(FirstStartMs + 100000)};
+  RunKey Run{"00000000000000aa", 0, 1};
+
+  void pass(std::chrono::milliseconds Time) {
+    Now.Steady += Time;
+    Now.Wall += Time;
+    Session.tick(Now);
+  }
+  void attachFirst() {
+    Session.onProfile(profileOf(FirstStartMs, 50), Now);
+    Session.onHoldReply(First, replyOf(FirstStartMs), Now);
+    CHECK(Session.isReady());
+  }
+  /// Starts a run, whose start the first incarnation confirms.
+  void startRun(const RunKey &Key) {
+    Session.start(Key, "spec", Now);
+    Session.onStartReply(First, Key, replyOf({}), Now);
+  }
+  void listInFirst(const RunKey &Key) {
+    WorkerReply Held = replyOf(FirstStartMs);
+    Held.Running.push_back(Key);
+    pass(10ms);
+    Session.onHoldReply(First, Held, Now);
+  }
+  /// The second incarnation replies to a call meant for the first.
+  void replaceFirst() {
+    pass(2s);
+    WorkerReply Reply = replyOf(SecondStartMs);
+    Reply.Clock = WorkerTime(700);
+    Session.onHoldReply(First, Reply, Now);
+  }
+  /// The second incarnation replies to its first call and announces itself.
+  void settleSecond(const WorkerReply &Reply) {
+    Session.onHoldReply(Second, Reply, Now);
+    Session.onProfile(profileOf(SecondStartMs, 1), Now);
+  }
+};
+
+TEST(WorkerIncarnationTest, ALowerSequenceOfANewIncarnationIsAccepted) {
+  attachFirst();
+  WorkerProfile New = profileOf(SecondStartMs, 1);
+  New.Room.set_cpu_milli(8000);
+  Session.onProfile(New, Now);
+  Session.onHoldReply(First, replyOf(SecondStartMs), Now);
+  LONGS_EQUAL(2, Events.Attached);
+  CHECK(Session.profile().StartUnixMs == SecondStartMs);
+  LONGS_EQUAL(8000, Session.profile().Room.cpu_milli());
+  Session.onHoldReply(Second, replyOf(SecondStartMs), Now);
+  CHECK(Session.isReady());
+}
+
+// This includes wall clocks that were set back between the two: the agent asks
+// which incarnation is there instead of comparing their start times.
+TEST(WorkerIncarnationTest,
+     ALateAnnouncementOfAnotherIncarnationChangesNothing) {
+  for (std::uint64_t Other : {FirstStartMs - 5000, FirstStartMs + 5000}) {
+    attachFirst();
+    WorkerProfile Late = profileOf(Other, 99);
+    Late.Draining = true;
+    Late.Room.set_cpu_milli(1);
+    Session.onProfile(Late, Now);
+    Session.onHoldReply(First, replyOf(FirstStartMs), Now);
+    CHECK(Session.profile().StartUnixMs == FirstStartMs);
+    CHECK_FALSE(Session.profile().Draining);
+    LONGS_EQUAL(16000, Session.profile().Room.cpu_milli());
+    LONGS_EQUAL(1, Events.Attached);
+  }
+}
+
+// A missing reply does not tell which of two incarnations is there; the next
+// one will.
+TEST(WorkerIncarnationTest, SilenceDoesNotDecideBetweenIncarnations) {
+  attachFirst();
+  Session.onProfile(profileOf(FirstStartMs - 5000, 99), Now);
+  Session.onHoldReply(First, WorkerReply(), Now);
+  LONGS_EQUAL(1, Events.Attached);
+  pass(Options.HoldRetryInterval);
+  Session.onHoldReply(First, replyOf(FirstStartMs), Now);
+  LONGS_EQUAL(1, Events.Attached);
+  CHECK(Session.isReady());
+}
+
+// A worker forgets its ends up to the acknowledged number.
+TEST(WorkerIncarnationTest, EndsAreNumberedAnewInEachIncarnation) {
+  attachFirst();
+  startRun(Run);
+  WorkerReply Report = replyOf(FirstStartMs);
+  Report.Ended.push_back({57, Run, RunOutcome::Done});
+  Session.onHoldReply(First, Report, Now);
+  LONGS_EQUAL(57, Port.Holds.back().AcknowledgedEnd);
+  replaceFirst();
+  LONGS_EQUAL(0, Port.Holds.back().AcknowledgedEnd);
+  settleSecond(replyOf(SecondStartMs));
+  Run.Run = 2;
+  Session.start(Run, "spec", Now);
+  WorkerReply Next = replyOf(SecondStartMs);
+  Next.Ended.push_back({1, Run, RunOutcome::Done});
+  Session.onHoldReply(Second, Next, Now);
+  LONGS_EQUAL(2, Events.Ends.size());
+  LONGS_EQUAL(1, Port.Holds.back().AcknowledgedEnd);
+}
+
+// Interpreted by the clock of the new incarnation, a deadline on the previous
+// clock would become the longest lease that it grants.
+TEST(WorkerIncarnationTest, LeasesUseTheClockOfTheIncarnationThatGrantsThem) {
+  attachFirst();
+  replaceFirst();
+  settleSecond(replyOf(SecondStartMs));
+  Session.start(Run, "spec", Now);
+  CHECK(Port.Starts.back().LeaseUntil <= WorkerTime(700) + Options.Lease);
+  CHECK(Port.Starts.back().LeaseUntil > WorkerTime(700));
+}
+
+// Calls meant for the previous incarnation that are executed late are refused,
+// because the first call to the new one carried a higher token.
+TEST(WorkerIncarnationTest, ANewIncarnationGetsAHigherToken) {
+  attachFirst();
+  std::uint64_t Before = Port.Holds.back().FencingToken;
+  replaceFirst();
+  CHECK(Port.Holds.back().FencingToken > Before);
+}
+
+TEST(WorkerIncarnationTest, RepliesOfThePreviousIncarnationChangeNothing) {
+  attachFirst();
+  startRun(Run);
+  replaceFirst();
+  settleSecond(replyOf(SecondStartMs));
+  Run.Run = 2;
+  Session.start(Run, "spec", Now);
+  std::size_t Ends = Events.Ends.size();
+  WorkerReply Late = replyOf(FirstStartMs);
+  Late.Clock = WorkerTime(999000);
+  Late.Ended.push_back({58, Run, RunOutcome::Done});
+  Session.onHoldReply(First, Late, Now);
+  Session.onStartReply(First, Run, replyOf({}, WorkerRefusal::NoRoom), Now);
+  LONGS_EQUAL(Ends, Events.Ends.size());
+  LONGS_EQUAL(0, Events.Refusals.size());
+  Run.Index = 1;
+  Session.start(Run, "spec", Now);
+  CHECK(Port.Starts.back().LeaseUntil < WorkerTime(999000));
+}
+
+// The run was known to be active in the incarnation that has ended.
+TEST(WorkerIncarnationTest, RunsOfThePreviousIncarnationLapseAndCountAsACrash) {
+  attachFirst();
+  startRun(Run);
+  listInFirst(Run);
+  replaceFirst();
+  settleSecond(replyOf(SecondStartMs));
+  LONGS_EQUAL(1, Events.Ends.size());
+  CHECK(Events.Ends[0] == RunOutcome::Lapsed);
+  LONGS_EQUAL(1, Events.Crashed.size());
+}
+
+// The new incarnation has the same id and could accept a start meant for the
+// previous one. If the run were reported as ended, the task would be started
+// elsewhere while it still runs here.
+TEST(WorkerIncarnationTest, RunsThatANewIncarnationInheritedAreStoppedFirst) {
+  attachFirst();
+  startRun(Run);
+  replaceFirst();
+  WorkerReply Held = replyOf(SecondStartMs);
+  Held.Running.push_back(Run);
+  settleSecond(Held);
+  LONGS_EQUAL(0, Events.Ends.size());
+  CHECK_FALSE(Session.isReady());
+  LONGS_EQUAL(1, Port.Stops.size());
+  CHECK(Port.Stops.back().Run == Run);
+  WorkerReply Stopped = replyOf(SecondStartMs);
+  Stopped.Ended.push_back({1, Run, RunOutcome::Stopped});
+  Session.onHoldReply(Second, Stopped, Now);
+  LONGS_EQUAL(1, Events.Ends.size());
+  CHECK(Events.Ends[0] == RunOutcome::Stopped);
+  CHECK(Session.isReady());
+}
+
+// The new incarnation may have started and ended the run, and may have
+// forgotten that end because of an acknowledgement meant for the previous one.
+TEST(WorkerIncarnationTest, ARunThatMayHaveEndedUnreportedIsUnknown) {
+  attachFirst();
+  pass(10ms);
+  startRun(Run);
+  replaceFirst();
+  settleSecond(replyOf(SecondStartMs));
+  LONGS_EQUAL(1, Events.Ends.size());
+  CHECK(Events.Ends[0] == RunOutcome::Unknown);
+}
+
+// Only its announcement tells what it is: a new incarnation may have different
+// room.
+TEST(WorkerIncarnationTest, AnIncarnationGetsNoRunsBeforeItsAnnouncement) {
+  attachFirst();
+  replaceFirst();
+  Session.onHoldReply(Second, replyOf(SecondStartMs), Now);
+  CHECK_FALSE(Session.isReady());
+  int Ready = Events.Ready;
+  WorkerProfile New = profileOf(SecondStartMs, 1);
+  New.Room.set_cpu_milli(8000);
+  New.Address = "10.0.0.9:1";
+  Session.onProfile(New, Now);
+  CHECK(Session.isReady());
+  LONGS_EQUAL(Ready + 1, Events.Ready);
+  LONGS_EQUAL(8000, Session.profile().Room.cpu_milli());
+  STRCMP_EQUAL("10.0.0.9:1", Session.profile().Address.c_str());
+}
+
+// If another id has replied, no incarnation of the old id is there.
+TEST(WorkerIncarnationTest,
+     AnotherIdAtTheAddressRulesOutAllIncarnationsOfThisId) {
+  attachFirst();
+  Session.onProfile(profileOf(SecondStartMs, 1), Now);
+  Session.onHoldReply(First, replyOf({}, WorkerRefusal::OtherIncarnation), Now);
+  LONGS_EQUAL(1, Events.Attached);
+  WorkerProfile Other = profileOf(SecondStartMs, 1);
+  Other.Id = "other";
+  Session.onProfile(Other, Now);
+  Session.onHoldReply(First, replyOf({}, WorkerRefusal::OtherIncarnation), Now);
+  STRCMP_EQUAL("other", Session.profile().Id.c_str());
+}
+
+TEST(WorkerIncarnationTest, WithoutAStartTimeTheIdAloneIdentifiesTheWorker) {
+  struct Row {
+    const char *Name;
+    std::optional<std::uint64_t> Announced;
+    std::optional<std::uint64_t> Again;
+    std::optional<std::uint64_t> Replied;
+  };
+  const Row Rows[] = {
+      {"nobody says it", {}, {}, {}},
+      {"only the lists say it", {}, {}, FirstStartMs},
+      {"only the announcements say it", FirstStartMs, FirstStartMs, {}},
+      {"a later announcement says it", {}, FirstStartMs, FirstStartMs},
+      {"a later announcement does not", FirstStartMs, {}, FirstStartMs},
+  };
+  for (const Row &Row : Rows) {
+    int Attached = Events.Attached;
+    WorkerSession Fresh(Options, Port, Events);
+    Fresh.onProfile(profileOf(Row.Announced, 1), Now);
+    Fresh.onHoldReply(Port.workerIncarnation(), replyOf(Row.Replied), Now);
+    Fresh.onProfile(profileOf(Row.Again, 2), Now);
+    Fresh.onHoldReply(Port.workerIncarnation(), replyOf(Row.Replied), Now);
+    LONGS_EQUAL_TEXT(Attached + 1, Events.Attached, Row.Name);
+    CHECK_TEXT(Fresh.isReady(), Row.Name);
+  }
+}
+
+TEST_GROUP_BASE(KeeperIncarnationTest, KeeperFixture){
+    WorkerProfile profileStartedAt(std::uint64_t StartUnixMs){
+        WorkerProfile Profile = profileOf(StartUnixMs, 1);
+Profile.Id = WorkerId;
+Profile.Pool = "pool";
+Profile.Room.set_memory_mb(1000);
+return Profile;
+}
+void beginIncarnation(LeaseKeeper &Keeper, std::uint64_t StartUnixMs) {
+  Keeper.onProfile(profileStartedAt(StartUnixMs), Now);
+  Keeper.session().onHoldReply({WorkerId, StartUnixMs}, replyOf(StartUnixMs),
+                               Now);
+  CHECK(Keeper.session().isReady());
+}
+/// Another incarnation of the worker replies and announces itself.
+void replaceIncarnation(LeaseKeeper &Keeper, const WorkerReply &Held) {
+  Keeper.session().onHoldReply({WorkerId, FirstStartMs}, replyOf(SecondStartMs),
+                               Now);
+  Keeper.session().onHoldReply({WorkerId, SecondStartMs}, Held, Now);
+  Keeper.onProfile(profileStartedAt(SecondStartMs), Now);
+}
+}
+;
+
+// Arriving late, the announcement would put the new incarnation out of use for
+// good.
+TEST(KeeperIncarnationTest, ALateLeaveOfAnEarlierIncarnationChangesNothing) {
+  LeaseKeeper Keeper(optionsWith(true), Sink, Port);
+  beginIncarnation(Keeper, SecondStartMs);
+  Keeper.onWorkerLeft({WorkerId, FirstStartMs}, Now);
+  CHECK_FALSE(Keeper.isLeaving());
+  Keeper.onWorkerLeft({WorkerId, SecondStartMs}, Now);
+  CHECK(Keeper.isLeaving());
+}
+
+// Entries distinguish incarnations of a worker by the agent's number for each.
+TEST(KeeperIncarnationTest, EntriesSeeANumberForEachIncarnationOfOneId) {
+  LeaseKeeper Keeper(optionsWith(true), Sink, Port);
+  beginIncarnation(Keeper, FirstStartMs);
+  std::uint64_t Before = Keeper.incarnation();
+  replaceIncarnation(Keeper, replyOf(SecondStartMs));
+  CHECK(Keeper.incarnation() > Before);
+  // The new incarnation does not start what was meant for the previous one.
+  Keeper.onMessage(EntryA, dispatch("job", stamp()), Now);
+  LONGS_EQUAL(0, Port.Starts.size());
+  CHECK(Sink.Updates.back().refusal() == peer::REFUSAL_STALE);
+}
+
+// The entry must not be told anything that lets it place the task again. It
+// counts the task as lost with the agent's previous incarnation.
+TEST(KeeperIncarnationTest, ATaskWithAnUnknownEndIsNotReported) {
+  LeaseKeeper Keeper(optionsWith(true), Sink, Port);
+  beginIncarnation(Keeper, FirstStartMs);
+  Keeper.onMessage(EntryA, dispatch("job", stamp()), Now);
+  LONGS_EQUAL(1, Port.Starts.size());
+  replaceIncarnation(Keeper, replyOf(SecondStartMs));
+  LONGS_EQUAL(0, Sink.Updates.size());
+  CHECK(Keeper.isIdle());
+  // The task's room is free again.
+  peer::Message Next = dispatch("next", stamp(), 16000);
+  Next.mutable_leased_dispatch()->set_agent_incarnation(Keeper.incarnation());
+  Keeper.onMessage(EntryA, Next, Now);
+  LONGS_EQUAL(2, Port.Starts.size());
+}
+
+// A crash of one incarnation must not be counted for the next one with the same
+// id.
+TEST(KeeperIncarnationTest, CrashesAreReportedByIncarnation) {
+  LeaseKeeper Keeper(optionsWith(true), Sink, Port);
+  beginIncarnation(Keeper, FirstStartMs);
+  std::uint64_t Incarnation = Keeper.incarnation();
+  Keeper.onMessage(EntryA, dispatch("job", stamp()), Now);
+  replaceIncarnation(Keeper, replyOf(SecondStartMs));
+  Keeper.onMessage(EntryA, renewal(stamp()), Now);
+  LONGS_EQUAL(1, Sink.Load.crashes_size());
+  CHECK(Sink.Load.crashes(0).incarnation() == Incarnation);
+}
+
+// A worker refuses a run whose number is not above the highest it has seen.
+TEST(KeeperIncarnationTest, RunNumbersKeepRisingAcrossIncarnations) {
+  LeaseKeeper Keeper(optionsWith(true), Sink, Port);
+  beginIncarnation(Keeper, FirstStartMs);
+  Keeper.onMessage(EntryA, dispatch("job", stamp()), Now);
+  replaceIncarnation(Keeper, replyOf(SecondStartMs));
+  peer::Message Again = dispatch("job", stamp());
+  Again.mutable_leased_dispatch()->set_agent_incarnation(Keeper.incarnation());
+  Keeper.onMessage(EntryA, Again, Now);
+  LONGS_EQUAL(2, Port.Starts.size());
+  CHECK(Port.Starts[1].Run.Run > Port.Starts[0].Run.Run);
+}
--- a/tests/agent/worker_room_test.cpp
+++ b/tests/agent/worker_room_test.cpp
@@ -1,9 +1,9 @@
-//===- A worker whose room shrinks and grows while it runs ----------------===//
+//===- Changes of a worker's room within one incarnation ------------------===//
 //
-// A worker's room may change within one life, and what it says of itself shows
-// it. An agent that holds to the room of the first announcement starts a task
-// too many: with 4 tasks of 1 core running, a worker that had shrunk from 4
-// cores to 2 was sent a fifth as soon as one of them ended.
+// A worker's room may change within one incarnation; its announcements report
+// it. An agent that keeps to the room of the first announcement starts too many
+// tasks: after a worker with 4 running tasks of 1 core had shrunk from 4 cores
+// to 2, it was sent a fifth task as soon as one of the four ended.
 //
 //===----------------------------------------------------------------------===//
 
@@ -24,9 +24,9 @@
 const PeerRef Entry{"entry", "10.0.0.1:1"};
 
 /// An agent and its worker.
-class RoomBench {
+class RoomFixture {
 public:
-  RoomBench() : Keeper(options(), this->Sink, this->Port) {
+  RoomFixture() : Keeper(options(), this->Sink, this->Port) {
     this->announce(1, 4);
     WorkerReply Ready;
     Ready.Answered = true;
@@ -43,13 +43,13 @@
     Profile.Room.set_memory_mb(MemoryMb);
     this->Keeper.onProfile(Profile, this->Now);
   }
-  /// Sends tasks of one core each.
+  /// Sends tasks of \p Cores cores each.
   void dispatch(const std::string &Job, std::uint32_t Tasks,
                 std::uint64_t Offer = 0, std::uint32_t Cores = 1) {
     peer::Message Message;
     peer::LeasedDispatch *Order = Message.mutable_leased_dispatch();
     Order->set_job(Job);
-    Order->set_agent_incarnation(AgentLife);
+    Order->set_agent_incarnation(AgentIncarnation);
     Order->set_stamp(LeaseKeeper::stampAt(this->Now));
     Order->set_start_by_ms(500);
     Order->set_give_up_ms(2000);
@@ -66,24 +66,24 @@
   }
   void askForOffer(const std::string &Job, std::uint32_t Tasks) {
     peer::Message Message;
-    peer::LeasedInterest *Told = Message.mutable_leased_interest();
-    Told->set_job(Job);
-    Told->set_agent_incarnation(AgentLife);
-    Told->mutable_needs()->set_cpu_milli(Core);
-    Told->set_tasks(Tasks);
-    Told->set_start_by_ms(500);
+    peer::LeasedInterest *Interest = Message.mutable_leased_interest();
+    Interest->set_job(Job);
+    Interest->set_agent_incarnation(AgentIncarnation);
+    Interest->mutable_needs()->set_cpu_milli(Core);
+    Interest->set_tasks(Tasks);
+    Interest->set_start_by_ms(500);
     this->Keeper.onMessage(Entry, Message, this->Now);
   }
   void endFirst() {
     WorkerReply Reply;
     Reply.Answered = true;
-    Reply.Ended.push_back(
-        {++this->Ends, this->Port.Starts[this->Ends - 1].Run, RunEnd::Done});
+    Reply.Ended.push_back({++this->Ends, this->Port.Starts[this->Ends - 1].Run,
+                           RunOutcome::Done});
     this->Keeper.session().onHoldReply({"w"}, Reply, this->Now);
   }
   peer::WorkerLoad load() {
     peer::Message Message;
-    Message.mutable_lease_renewal()->set_agent_incarnation(AgentLife);
+    Message.mutable_lease_renewal()->set_agent_incarnation(AgentIncarnation);
     Message.mutable_lease_renewal()->set_stamp(LeaseKeeper::stampAt(this->Now));
     this->Keeper.onMessage(Entry, Message, this->Now);
     return this->Sink.Load;
@@ -98,7 +98,7 @@
                       }));
   }
 
-  ObedientPort Port;
+  FakeWorkerPort Port;
   CollectingSink Sink;
   Instant Now{TimePoint(1h), fromUnixMillis(1800000000000)};
   LeaseKeeper Keeper;
@@ -106,7 +106,7 @@
 private:
   static KeeperOptions options() {
     KeeperOptions Options;
-    Options.Incarnation = AgentLife;
+    Options.Incarnation = AgentIncarnation;
     return Options;
   }
   std::uint64_t LastOrder = 0;
@@ -117,108 +117,109 @@
 
 TEST_GROUP(WorkerRoomTest){};
 
-TEST(WorkerRoomTest, TheNewestWordOfALifeHolds) {
-  struct Word {
+TEST(WorkerRoomTest, TheNewestAnnouncementOfAnIncarnationApplies) {
+  struct Announcement {
     std::uint64_t Sequence;
     std::uint32_t Cores;
   };
   struct Row {
     const char *Name;
-    std::vector<Word> Words;
+    std::vector<Announcement> Announcements;
     std::uint32_t Cores;
   };
-  const Row Rows[] = {{"shrinks", {{2, 2}}, 2},
-                      {"shrinks and grows", {{2, 2}, {3, 8}}, 8},
-                      {"a late word after a newer one", {{3, 2}, {2, 8}}, 2},
-                      {"the same word twice", {{2, 2}, {2, 8}}, 2},
-                      {"to nothing", {{2, 0}}, 0},
-                      {"and back", {{2, 0}, {3, 4}}, 4}};
+  const Row Rows[] = {
+      {"shrinks", {{2, 2}}, 2},
+      {"shrinks and grows", {{2, 2}, {3, 8}}, 8},
+      {"a late announcement after a newer one", {{3, 2}, {2, 8}}, 2},
+      {"the same announcement twice", {{2, 2}, {2, 8}}, 2},
+      {"to nothing", {{2, 0}}, 0},
+      {"and back", {{2, 0}, {3, 4}}, 4}};
   for (const Row &Row : Rows) {
-    RoomBench Bench;
-    for (const Word &Said : Row.Words)
-      Bench.announce(Said.Sequence, Said.Cores);
-    LONGS_EQUAL_TEXT(Row.Cores * Core, Bench.load().room().cpu_milli(),
+    RoomFixture Fixture;
+    for (const Announcement &Said : Row.Announcements)
+      Fixture.announce(Said.Sequence, Said.Cores);
+    LONGS_EQUAL_TEXT(Row.Cores * Core, Fixture.load().room().cpu_milli(),
                      Row.Name);
-    Bench.dispatch("job", 10);
-    LONGS_EQUAL_TEXT(Row.Cores, Bench.running(), Row.Name);
+    Fixture.dispatch("job", 10);
+    LONGS_EQUAL_TEXT(Row.Cores, Fixture.running(), Row.Name);
   }
 }
 
-TEST(WorkerRoomTest, WhatRunsGoesOnAndNothingStartsUntilItFits) {
-  RoomBench Bench;
-  Bench.dispatch("running", 4);
-  Bench.announce(2, 2);
-  LONGS_EQUAL(0, Bench.Port.Stops.size());
-  Bench.dispatch("next", 1);
-  Bench.endFirst();
-  Bench.endFirst();
-  LONGS_EQUAL(4, Bench.Port.Starts.size());
-  Bench.endFirst();
-  LONGS_EQUAL(5, Bench.Port.Starts.size());
+TEST(WorkerRoomTest, RunsContinueAndNothingStartsUntilItFits) {
+  RoomFixture Fixture;
+  Fixture.dispatch("running", 4);
+  Fixture.announce(2, 2);
+  LONGS_EQUAL(0, Fixture.Port.Stops.size());
+  Fixture.dispatch("next", 1);
+  Fixture.endFirst();
+  Fixture.endFirst();
+  LONGS_EQUAL(4, Fixture.Port.Starts.size());
+  Fixture.endFirst();
+  LONGS_EQUAL(5, Fixture.Port.Starts.size());
 }
 
-TEST(WorkerRoomTest, WhatWaitedIsGivenBackAsNotStarted) {
-  RoomBench Bench;
-  Bench.dispatch("running", 4);
-  Bench.dispatch("waits", 3);
-  Bench.announce(2, 2);
-  LONGS_EQUAL(3, Bench.refusedBusy());
-  LONGS_EQUAL(4, Bench.Port.Starts.size());
+TEST(WorkerRoomTest, QueuedTasksAreRejectedAsNotStarted) {
+  RoomFixture Fixture;
+  Fixture.dispatch("running", 4);
+  Fixture.dispatch("waits", 3);
+  Fixture.announce(2, 2);
+  LONGS_EQUAL(3, Fixture.refusedBusy());
+  LONGS_EQUAL(4, Fixture.Port.Starts.size());
 }
 
-// Else it would keep its turn for good, and others from theirs.
-TEST(WorkerRoomTest, ATaskLargerThanTheRoomIsRefusedAndHoldsUpNobody) {
-  RoomBench Bench;
-  Bench.dispatch("large", 1, 0, /*Cores=*/3);
-  Bench.dispatch("waits", 1, 0, /*Cores=*/3);
-  Bench.endFirst();
-  LONGS_EQUAL(2, Bench.Port.Starts.size());
-  Bench.dispatch("waits on", 1, 0, /*Cores=*/3);
-  Bench.announce(2, 3);
-  LONGS_EQUAL(0, Bench.refusedBusy());
-  Bench.announce(3, 2);
-  LONGS_EQUAL(1, Bench.refusedBusy());
-  Bench.endFirst();
-  Bench.dispatch("too large", 1, 0, /*Cores=*/3);
-  LONGS_EQUAL(2, Bench.refusedBusy());
-  Bench.dispatch("small", 2);
-  LONGS_EQUAL(4, Bench.Port.Starts.size());
+// Otherwise the task would block the head of the queue forever.
+TEST(WorkerRoomTest, ATaskLargerThanTheRoomIsRefusedAndBlocksNoOthers) {
+  RoomFixture Fixture;
+  Fixture.dispatch("large", 1, 0, /*Cores=*/3);
+  Fixture.dispatch("waits", 1, 0, /*Cores=*/3);
+  Fixture.endFirst();
+  LONGS_EQUAL(2, Fixture.Port.Starts.size());
+  Fixture.dispatch("waits on", 1, 0, /*Cores=*/3);
+  Fixture.announce(2, 3);
+  LONGS_EQUAL(0, Fixture.refusedBusy());
+  Fixture.announce(3, 2);
+  LONGS_EQUAL(1, Fixture.refusedBusy());
+  Fixture.endFirst();
+  Fixture.dispatch("too large", 1, 0, /*Cores=*/3);
+  LONGS_EQUAL(2, Fixture.refusedBusy());
+  Fixture.dispatch("small", 2);
+  LONGS_EQUAL(4, Fixture.Port.Starts.size());
 }
 
-TEST(WorkerRoomTest, OfferedRoomThatHasGoneStartsNothing) {
-  RoomBench Bench;
-  Bench.dispatch("running", 2);
-  Bench.askForOffer("offered", 2);
-  LONGS_EQUAL(1, Bench.Sink.Offers.size());
-  Bench.announce(2, 3);
-  Bench.dispatch("offered", 2, Bench.Sink.Offers.front().offer());
-  LONGS_EQUAL(3, Bench.Port.Starts.size());
-  LONGS_EQUAL(1, Bench.refusedBusy());
+TEST(WorkerRoomTest, AnOfferOfRoomThatIsGoneStartsNothing) {
+  RoomFixture Fixture;
+  Fixture.dispatch("running", 2);
+  Fixture.askForOffer("offered", 2);
+  LONGS_EQUAL(1, Fixture.Sink.Offers.size());
+  Fixture.announce(2, 3);
+  Fixture.dispatch("offered", 2, Fixture.Sink.Offers.front().offer());
+  LONGS_EQUAL(3, Fixture.Port.Starts.size());
+  LONGS_EQUAL(1, Fixture.refusedBusy());
 }
 
-TEST(WorkerRoomTest, RoomThatGrowsIsUsedAtOnce) {
-  RoomBench Bench;
-  Bench.dispatch("running", 4);
-  Bench.dispatch("waits", 3);
-  Bench.announce(2, 6);
-  LONGS_EQUAL(6, Bench.Port.Starts.size());
+TEST(WorkerRoomTest, AddedRoomIsUsedAtOnce) {
+  RoomFixture Fixture;
+  Fixture.dispatch("running", 4);
+  Fixture.dispatch("waits", 3);
+  Fixture.announce(2, 6);
+  LONGS_EQUAL(6, Fixture.Port.Starts.size());
 }
 
-// An entry hears of it with the next load, and neither an older load nor
-// control's word, which comes later, takes it back.
-TEST(WorkerRoomTest, AnEntryPlacesByTheRoomThatItsAgentTold) {
+// An entry learns the room from the next load. Neither an older load nor the
+// later report of a control may undo that.
+TEST(WorkerRoomTest, AnEntryPlacesByTheRoomThatTheAgentReports) {
   TimePoint Now(1h);
   WorkerTable Table(WorkerTableOptions(), 1);
   peer::Member Member;
   Member.set_name("a");
-  Member.set_incarnation(AgentLife);
+  Member.set_incarnation(AgentIncarnation);
   Member.set_state(peer::MEMBER_ALIVE);
   Member.set_pool("pool");
   Member.mutable_room()->set_cpu_milli(4 * Core);
   Table.update(Member, Now);
   auto Hear = [&](std::uint64_t Stamp, std::uint32_t Cores) {
     peer::WorkerLoad Load;
-    Load.set_incarnation(AgentLife);
+    Load.set_incarnation(AgentIncarnation);
     Load.set_stamp(Stamp);
     Load.mutable_room()->set_cpu_milli(Cores * Core);
     Table.onLoadReport("a", Load, Now);
--- a/tests/entry/lease_hunt_test.cpp
+++ b/tests/entry/lease_hunt_test.cpp
@@ -89,7 +89,7 @@
   const Row Rows[] = {
       {"leases count from the receipt of a message",
        [](LeaseScenarioOptions &Options) {
-         Options.World.Keeper.LeasesCountFromEcho = false;
+         Options.World.Keeper.LeasesCountFromStamp = false;
        }},
       {"a worker's lease outlasts those of its runs",
        [](LeaseScenarioOptions &Options) {
@@ -105,11 +105,11 @@
        }},
       {"no allowance for the clock of an unresponsive worker",
        [](LeaseScenarioOptions &Options) {
-         Options.World.Keeper.Session.LapseSlack = 0ms;
+         Options.World.Keeper.Session.LeaseExpiryMargin = 0ms;
        }},
       {"a confirmed stop counts as the end of the run",
        [](LeaseScenarioOptions &Options) {
-         Options.World.Keeper.Session.StopTakes = 0ms;
+         Options.World.Keeper.Session.MaxStopDuration = 0ms;
        }},
       {"a placement in transit counts as missing",
        [](LeaseScenarioOptions &Options) {
@@ -118,7 +118,7 @@
        }},
       {"placements that have ended are forgotten",
        [](LeaseScenarioOptions &Options) {
-         Options.World.Keeper.OrderMemory = 0ms;
+         Options.World.Keeper.PlacementRetention = 0ms;
        }},
       {"a stalled entry does not check whether callers are connected",
        [](LeaseScenarioOptions &Options) {
--- a/tests/platform/worker_client_test.cpp
+++ b/tests/platform/worker_client_test.cpp
@@ -105,13 +105,15 @@
 /// Keeps the replies for a test to await.
 class CollectingReplies final : public WorkerReplies {
 public:
-  void onStart(const WorkerLife &, const RunKey &, WorkerReply Reply) override {
+  void onStart(const WorkerIncarnation &, const RunKey &,
+               WorkerReply Reply) override {
     this->add(std::move(Reply));
   }
-  void onStop(const WorkerLife &, const RunKey &, WorkerReply Reply) override {
+  void onStop(const WorkerIncarnation &, const RunKey &,
+              WorkerReply Reply) override {
     this->add(std::move(Reply));
   }
-  void onHold(const WorkerLife &, WorkerReply Reply) override {
+  void onHold(const WorkerIncarnation &, WorkerReply Reply) override {
     this->add(std::move(Reply));
   }
   WorkerReply next() {
@@ -196,7 +198,7 @@
   Client.start(startOf("first"));
   WorkerReply Reply = Replies.next();
   CHECK(Reply.Answered);
-  CHECK(Reply.Refusal == WorkerRefusal::Unwell);
+  CHECK(Reply.Refusal == WorkerRefusal::Unhealthy);
 }
 
 // Stops and requests for ends do the same when they arrive twice.
