--- a/tests/entry/disconnected_callers_test.cpp
+++ b/tests/entry/disconnected_callers_test.cpp
@@ -20,11 +20,11 @@
 
 } // namespace
 
-TEST_GROUP(LeftCallersTest){};
+TEST_GROUP(DisconnectedCallersTest){};
 
 // An entry that continues after a freeze handles old messages, while the caller
 // may have resubmitted the job elsewhere.
-TEST(LeftCallersTest, AFrozenEntryStartsNothingForADisconnectedCaller) {
+TEST(DisconnectedCallersTest, AFrozenEntryStartsNothingForADisconnectedCaller) {
   struct Row {
     const char *Name;
     /// The job has been submitted at this entry before.
--- a/tests/entry/joined_callers_test.cpp
+++ b/tests/entry/joined_callers_test.cpp
@@ -5,7 +5,7 @@
 using namespace yardwheel;
 using namespace std::chrono_literals;
 
-TEST_GROUP_BASE(OlderCallersTest, CoordinatorFixture){
+TEST_GROUP_BASE(JoinedCallersTest, CoordinatorFixture){
     /// Advances to \p End while the agent keeps sending its load.
     void runUntil(TimePoint End){while (Now.Steady < End){advance(100ms);
 reportLoad("a");
@@ -16,7 +16,7 @@
 
 // A connection may be dead without being closed. Its caller, whose deadline has
 // passed, may have resubmitted the job elsewhere.
-TEST(OlderCallersTest, NoJobOutlivesTheDeadlinesOfItsRemainingCallers) {
+TEST(JoinedCallersTest, NoJobOutlivesTheDeadlinesOfItsRemainingCallers) {
   struct Row {
     const char *Name;
     std::chrono::milliseconds NewerDeadline;
--- a/tests/entry/lease_fuzz_test.cpp
+++ b/tests/entry/lease_fuzz_test.cpp
@@ -35,9 +35,9 @@
 
 } // namespace
 
-TEST_GROUP(LeaseHuntTest){};
+TEST_GROUP(LeaseFuzzTest){};
 
-TEST(LeaseHuntTest, NoRunsOverlapAndEachSubmissionIsAnsweredCorrectly) {
+TEST(LeaseFuzzTest, NoRunsOverlapAndEachSubmissionIsAnsweredCorrectly) {
   SeedRange Seeds = seedRange(DefaultSeeds);
   std::uint64_t Completed = 0;
   std::uint64_t Jobs = 0;
@@ -61,7 +61,7 @@
 
 // In addition to the other faults, workers crash and restart, with the id of
 // the first incarnation or with a new one.
-TEST(LeaseHuntTest, NoRunsOverlapWhenWorkersRestart) {
+TEST(LeaseFuzzTest, NoRunsOverlapWhenWorkersRestart) {
   SeedRange Seeds = seedRange(DefaultSeeds);
   std::uint32_t Bad = 0;
   for (std::uint64_t Seed = Seeds.First; Seed <= Seeds.Last; ++Seed)
@@ -72,7 +72,7 @@
 // A start call that is executed seconds late reaches the next incarnation of
 // the worker with the same id. While its agent is frozen or dead, that
 // incarnation has not received a fencing token that would reject the call.
-TEST(LeaseHuntTest, ALateStartDoesNotRunInTheNextIncarnation) {
+TEST(LeaseFuzzTest, ALateStartDoesNotRunInTheNextIncarnation) {
   std::uint32_t Bad = 0;
   for (std::uint64_t Seed : {511, 1785, 2190, 4957})
     Bad += failsWithRestarts(Seed) ? 1 : 0;
@@ -81,7 +81,7 @@
 
 // Disables one rule at a time and expects a violation, to show that the
 // scenarios above would find one.
-TEST(LeaseHuntTest, PlantedFaultsAreFound) {
+TEST(LeaseFuzzTest, PlantedFaultsAreFound) {
   struct Row {
     const char *Name;
     void (*Plant)(LeaseScenarioOptions &Options);
