--- a/entry/job_runner.cpp
+++ b/entry/job_runner.cpp
@@ -67,7 +67,7 @@
     if (TargetPool.Upstreams.fitsSomewhere(Target.Request.Tasks[I].Needs))
       continue;
     Refusal.Kind = peer::FAILURE_NEVER_FITS;
-    Refusal.Reason = "no worker in the pool is large enough, even when idle";
+    Refusal.Reason = "no worker of the pool is large enough, even when idle";
     Refusal.Task = static_cast<int>(I);
     return Refusal;
   }
