--- a/agent/lease_keeper_ends.cpp
+++ b/agent/lease_keeper_ends.cpp
@@ -12,7 +12,7 @@
 
 /// Added to a run's number after the worker has seen a higher one, which an
 /// earlier agent of this worker assigned.
-constexpr std::uint64_t RunStep = 16;
+constexpr std::uint64_t RunNumberStep = 16;
 /// A worker that a task crashes may have accepted others for up to this long
 /// after it: calls to the worker are in flight while it crashes, and take about
 /// a millisecond. All runs started this close to the last one are suspects.
@@ -45,7 +45,7 @@
                                      {"used_cpu_milli", this->Used.cpu_milli()},
                                      {"queued", this->Queue.size()}});
   if (Cause == WorkerRefusal::StaleRun)
-    this->LastRuns[Id].Run += RunStep;
+    this->LastRuns[Id].Run += RunNumberStep;
   bool Wanted = TheTask->State == Phase::Running;
   bool MayWait = Cause == WorkerRefusal::NoRoom ||
                  Cause == WorkerRefusal::Fenced ||
@@ -112,13 +112,13 @@
     this->Tasks.erase(Id);
     return;
   }
-  peer::LeasedRefusal Blame = Outcome == RunOutcome::Unanswered
-                                  ? peer::REFUSAL_WORKER
-                                  : peer::REFUSAL_NONE;
+  peer::LeasedRefusal Refusal = Outcome == RunOutcome::Unanswered
+                                    ? peer::REFUSAL_WORKER
+                                    : peer::REFUSAL_NONE;
   bool WorkerLost = Outcome == RunOutcome::Lapsed &&
                     !this->Session.isResponsive() && !this->Leaving &&
                     !this->LastIncarnationLeft;
-  this->sendUpdate(Id, *TheTask, Event, Blame, runOutcomeName(Outcome), Now,
+  this->sendUpdate(Id, *TheTask, Event, Refusal, runOutcomeName(Outcome), Now,
                    WorkerLost);
   this->Tasks.erase(Id);
   this->NoRoomUntil = TimePoint::min();
--- a/agent/worker_session.h
+++ b/agent/worker_session.h
@@ -57,10 +57,10 @@
   /// above ours.
   std::chrono::milliseconds LeaseExpiryMargin{150};
   /// How long a reading of the worker's clock may be extrapolated with ours;
-  /// longer than a hold call takes. After that the worker's host or ours may
-  /// have been suspended in between. Computed from a clock that is ahead of the
-  /// worker's, a lease would be the longest that the worker grants instead of
-  /// the one intended.
+  /// longer than a hold call takes. Over a longer time the worker's host or
+  /// ours may have been suspended. If the extrapolated time were ahead of the
+  /// worker's clock, the worker would grant the longest lease that it can
+  /// instead of the one intended.
   std::chrono::milliseconds MaxClockReadingAge{4000};
   /// Delay before a confirmed stop whose end has not been reported is sent
   /// again.
@@ -148,7 +148,8 @@
   /// Whether a confirmed stop of the run has taken effect, so that only the
   /// report of its end is missing.
   bool hasStopped(const RunKey &Run, Instant Now) const;
-  /// Whether the last hold call succeeded; otherwise the worker may be gone.
+  /// Whether the worker has become ready and its last hold call succeeded;
+  /// otherwise the worker may be gone.
   bool isResponsive() const { return this->Ready && !this->LastHoldFailed; }
 
 private:
--- a/tests/agent/worker_incarnation_test.cpp
+++ b/tests/agent/worker_incarnation_test.cpp
@@ -58,11 +58,12 @@
     Session.onHoldReply(First, replyOf(FirstStartMs), Now);
     CHECK(Session.isReady());
   }
-  /// Starts a run, whose start the first incarnation confirms.
+  /// Starts a run and has the first incarnation confirm the start.
   void startRun(const RunKey &Key) {
     Session.start(Key, "spec", Now);
     Session.onStartReply(First, Key, replyOf({}), Now);
   }
+  /// The first incarnation lists the run as running.
   void listInFirst(const RunKey &Key) {
     WorkerReply Held = replyOf(FirstStartMs);
     Held.Running.push_back(Key);
--- a/tests/agent/worker_session_test.cpp
+++ b/tests/agent/worker_session_test.cpp
@@ -104,7 +104,7 @@
   struct Row {
     const char *Name;
     bool HasRuns;
-    WorkerReply FromPresentLife;
+    WorkerReply FromCurrent;
     const char *Expected;
   };
   const Row Rows[] = {
@@ -124,19 +124,21 @@
       Session.start(Run, "spec", Now);
       Session.onStartReply({Port.Id}, Run, answered(), Now);
     }
-    std::string Present = Port.Id;
+    std::string Current = Port.Id;
     std::size_t Ends = Events.Ends.size();
-    std::size_t Alive = Session.runs();
+    std::size_t RunsBefore = Session.runs();
     int Attached = Events.Attached;
-    bool Moves = Row.Expected != Present;
-    Profile.Id = Moves ? Row.Expected : "worker-0";
+    bool IsReplaced = Row.Expected != Current;
+    Profile.Id = IsReplaced ? Row.Expected : "worker-0";
     Session.onProfile(Profile, Now);
     LONGS_EQUAL_TEXT(0, Port.Holds.back().Wait.count(), Row.Name);
-    STRCMP_EQUAL_TEXT(Present.c_str(), Port.Id.c_str(), Row.Name);
-    Session.onHoldReply({Present}, Row.FromPresentLife, Now);
+    STRCMP_EQUAL_TEXT(Current.c_str(), Port.Id.c_str(), Row.Name);
+    Session.onHoldReply({Current}, Row.FromCurrent, Now);
     STRCMP_EQUAL_TEXT(Row.Expected, Port.Id.c_str(), Row.Name);
-    LONGS_EQUAL_TEXT(Ends + (Moves ? Alive : 0), Events.Ends.size(), Row.Name);
-    LONGS_EQUAL_TEXT(Attached + (Moves ? 1 : 0), Events.Attached, Row.Name);
+    LONGS_EQUAL_TEXT(Ends + (IsReplaced ? RunsBefore : 0), Events.Ends.size(),
+                     Row.Name);
+    LONGS_EQUAL_TEXT(Attached + (IsReplaced ? 1 : 0), Events.Attached,
+                     Row.Name);
     // The current incarnation replies and reports the end of its run.
     WorkerReply Held = answered();
     if (Row.HasRuns && Session.runs() > 0)
