--- a/consensus/file_log_storage.cpp
+++ b/consensus/file_log_storage.cpp
@@ -18,19 +18,19 @@
 constexpr const char *LockName = "lock";
 constexpr mode_t LockMode = 0600;
 
-std::string join(const std::string &Folder, const char *Name) {
+std::string joinPath(const std::string &Folder, const char *Name) {
   return (std::filesystem::path(Folder) / Name).string();
 }
 
 /// Reads a file that holds exactly one record.
-std::string readOnly(const std::string &Path) {
+std::string readSingleRecord(const std::string &Path) {
   std::vector<std::string> Records = RecordFile(Path, writeToDisk).readAll();
   if (Records.size() != 1)
     throw Error("storage", Path, "expected one whole record at offset 0");
   return Records.front();
 }
 
-peer::WalRecord hardRecord(const peer::HardState &State) {
+peer::WalRecord hardStateRecord(const peer::HardState &State) {
   peer::WalRecord Record;
   *Record.mutable_hard_state() = State;
   return Record;
@@ -71,18 +71,18 @@
 
 void initDataFolder(const std::string &Folder, const peer::Identity &Identity) {
   std::filesystem::create_directories(Folder);
-  std::string Path = join(Folder, IdentityName);
+  std::string Path = joinPath(Folder, IdentityName);
   if (std::filesystem::exists(Path))
     throw Error("storage", Path, "the folder belongs to a replica already");
   replaceRecordFile(Path, {Identity.SerializeAsString()}, writeToDisk);
 }
 
 std::optional<peer::Identity> findIdentity(const std::string &Folder) {
-  std::string Path = join(Folder, IdentityName);
+  std::string Path = joinPath(Folder, IdentityName);
   if (!std::filesystem::exists(Path))
     return std::nullopt;
   peer::Identity Read;
-  if (!Read.ParseFromString(readOnly(Path)))
+  if (!Read.ParseFromString(readSingleRecord(Path)))
     throw Error("storage", Path, "expected an identity at offset 0");
   return Read;
 }
@@ -113,7 +113,7 @@
 }
 
 std::string FileLogStorage::pathOf(const char *Name) const {
-  return join(this->Folder, Name);
+  return joinPath(this->Folder, Name);
 }
 
 void FileLogStorage::lock() {
@@ -131,7 +131,7 @@
     *Read.mutable_replicas() = this->Identity.bootstrap();
     return Read;
   }
-  if (!Read.ParseFromString(readOnly(Path)))
+  if (!Read.ParseFromString(readSingleRecord(Path)))
     throw Error("storage", Path, "expected a snapshot at offset 0");
   return Read;
 }
@@ -153,7 +153,7 @@
 }
 
 void FileLogStorage::saveHardState(const peer::HardState &State) {
-  this->appendRecord(hardRecord(State));
+  this->appendRecord(hardStateRecord(State));
 }
 
 void FileLogStorage::append(const std::vector<peer::LogEntry> &Entries) {
@@ -178,7 +178,7 @@
                     this->Write);
   std::vector<std::string> Records;
   Records.reserve(Rest.size() + 1);
-  Records.push_back(hardRecord(Hard).SerializeAsString());
+  Records.push_back(hardStateRecord(Hard).SerializeAsString());
   for (const peer::LogEntry &Entry : Rest)
     Records.push_back(entryRecord(Entry).SerializeAsString());
   replaceRecordFile(this->pathOf(LogName), Records, this->Write);
--- a/consensus/raft_election.cpp
+++ b/consensus/raft_election.cpp
@@ -6,18 +6,18 @@
 
 namespace yardwheel {
 
-bool RaftNode::hearsLeader(TimePoint Now) const {
+bool RaftNode::hasRecentLeader(TimePoint Now) const {
   if (this->leads())
     return true;
-  return !this->Leader.empty() && this->LeaderHeard != TimePoint::min() &&
-         Now - this->LeaderHeard < this->Options.Election;
+  return !this->Leader.empty() && this->LastLeaderContact != TimePoint::min() &&
+         Now - this->LastLeaderContact < this->Options.ElectionTimeout;
 }
 
 void RaftNode::campaign(bool Pre, TimePoint Now) {
   std::uint64_t NewTerm = this->Hard.term() + 1;
   if (!Pre) {
     try {
-      this->saveHard(NewTerm, this->Options.Name);
+      this->persistHardState(NewTerm, this->Options.Name);
     } catch (const Error &) {
       // A vote that would not last must not be given, not even to oneself.
       return;
@@ -48,7 +48,7 @@
 bool RaftNode::mayVoteFor(const peer::RaftMessage &Message,
                           TimePoint Now) const {
   const peer::VoteRequest &Request = Message.vote_request();
-  if (this->Options.PreVote && this->hearsLeader(Now))
+  if (this->Options.PreVote && this->hasRecentLeader(Now))
     return false;
   bool UpToDate = Request.last_term() > this->Log.lastTerm() ||
                   (Request.last_term() == this->Log.lastTerm() &&
@@ -67,11 +67,11 @@
   bool Granted = this->mayVoteFor(Message, Now);
   if (Granted && !Request.pre()) {
     try {
-      this->saveHard(this->Hard.term(), Message.from());
+      this->persistHardState(this->Hard.term(), Message.from());
     } catch (const Error &) {
       return;
     }
-    this->resetElection(Now);
+    this->resetElectionDeadline(Now);
   }
   peer::RaftMessage Reply = this->messageTo(Message.from());
   // A granted pre-vote speaks of the term that was asked for.
@@ -107,7 +107,7 @@
                               TimePoint Now) {
   if (Term > this->Hard.term()) {
     try {
-      this->saveHard(Term, "");
+      this->persistHardState(Term, "");
     } catch (const Error &) {
       // The term is taken in memory: it only lets this replica do less. No
       // vote is given without being stored.
@@ -119,9 +119,9 @@
   this->Role = RaftRole::Follower;
   this->Leader = NewLeader;
   this->Reads.clear();
-  this->resetElection(Now);
+  this->resetElectionDeadline(Now);
   if (Led)
-    this->Events.onRole(false);
+    this->Events.onLeadershipChange(false);
 }
 
 void RaftNode::becomeLeader(TimePoint Now) {
@@ -139,7 +139,7 @@
     this->becomeFollower(this->Hard.term(), "", Now);
     return;
   }
-  this->Events.onRole(true);
+  this->Events.onLeadershipChange(true);
 }
 
 void RaftNode::checkQuorum(TimePoint Now) {
@@ -147,7 +147,7 @@
     return;
   std::set<std::string> Heard = {this->Options.Name};
   for (const auto &[Name, Follower] : this->Followers)
-    if (Now - Follower.LastHeard < 2 * this->Options.Election)
+    if (Now - Follower.LastHeard < 2 * this->Options.ElectionTimeout)
       Heard.insert(Name);
   if (!this->isQuorum(Heard))
     this->becomeFollower(this->Hard.term(), "", Now);
--- a/consensus/raft_log.cpp
+++ b/consensus/raft_log.cpp
@@ -5,7 +5,7 @@
 void RaftLog::load(const StoredLog &Stored) {
   this->Base = Stored.Snapshot;
   this->Entries.assign(Stored.Entries.begin(), Stored.Entries.end());
-  this->findReplicas();
+  this->updateReplicas();
 }
 
 std::optional<std::uint64_t> RaftLog::termAt(std::uint64_t Index) const {
@@ -40,7 +40,7 @@
 void RaftLog::truncateFrom(std::uint64_t Index) {
   while (this->lastIndex() >= Index && !this->Entries.empty())
     this->Entries.pop_back();
-  this->findReplicas();
+  this->updateReplicas();
 }
 
 void RaftLog::compact(const peer::Snapshot &Snapshot) {
@@ -52,10 +52,10 @@
          this->Entries.front().index() <= Snapshot.index())
     this->Entries.pop_front();
   this->Base = Snapshot;
-  this->findReplicas();
+  this->updateReplicas();
 }
 
-void RaftLog::findReplicas() {
+void RaftLog::updateReplicas() {
   for (auto Entry = this->Entries.rbegin(); Entry != this->Entries.rend();
        ++Entry) {
     if (!Entry->has_replicas())
--- a/consensus/raft_log.h
+++ b/consensus/raft_log.h
@@ -44,7 +44,7 @@
   peer::ReplicaSet replicasAt(std::uint64_t Index) const;
 
 private:
-  void findReplicas();
+  void updateReplicas();
 
   peer::Snapshot Base;
   std::deque<peer::LogEntry> Entries;
--- a/consensus/raft_node.cpp
+++ b/consensus/raft_node.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 /// Heartbeats in one election time-out.
-constexpr int HeartbeatsPerElection = 5;
+constexpr int HeartbeatsPerElectionTimeout = 5;
 
 } // namespace
 
@@ -24,7 +24,7 @@
   this->Applied = Stored.Snapshot.index();
   if (Stored.Snapshot.index() > 0)
     this->Events.restoreState(Stored.Snapshot);
-  this->resetElection(Now);
+  this->resetElectionDeadline(Now);
 }
 
 void RaftNode::tick(TimePoint Now) {
@@ -34,10 +34,10 @@
       this->broadcast(/*Heartbeat=*/true, Now);
     return;
   }
-  if (Now < this->ElectionAt)
+  if (Now < this->ElectionDeadline)
     return;
   ++this->Campaigns;
-  this->resetElection(Now);
+  this->resetElectionDeadline(Now);
   // Also a replica that does not vote: it would send nodes to a leader of long
   // ago (an old route table, 7 s too long).
   this->Leader.clear();
@@ -52,7 +52,7 @@
   bool IsVote = Message.has_vote_request();
   bool PreReply = Message.has_vote_reply() && Message.vote_reply().pre();
   // A replica that still hears its leader lets nobody disturb it.
-  if (IsVote && this->Options.CheckQuorum && this->hearsLeader(Now) &&
+  if (IsVote && this->Options.CheckQuorum && this->hasRecentLeader(Now) &&
       Message.from() != this->Leader)
     return;
   bool PreVote = IsVote && Message.vote_request().pre();
@@ -75,7 +75,7 @@
     this->onAppendReply(Message, Now);
     return;
   case peer::RaftMessage::kInstallSnapshot:
-    this->onInstall(Message, Now);
+    this->onInstallSnapshot(Message, Now);
     return;
   default:
     return;
@@ -176,7 +176,8 @@
   return Message;
 }
 
-void RaftNode::saveHard(std::uint64_t Term, const std::string &VotedFor) {
+void RaftNode::persistHardState(std::uint64_t Term,
+                                const std::string &VotedFor) {
   peer::HardState New;
   New.set_term(Term);
   New.set_voted_for(VotedFor);
@@ -187,21 +188,23 @@
 }
 
 std::chrono::milliseconds RaftNode::electionTimeout() const {
-  bool Early = this->LeaderHeard == TimePoint::min() &&
-               this->Campaigns < this->Options.EarlyCampaigns;
-  return Early ? std::min(this->Options.FirstElection, this->Options.Election)
-               : this->Options.Election;
+  bool Early = this->LastLeaderContact == TimePoint::min() &&
+               this->Campaigns < this->Options.MaxEarlyCampaigns;
+  return Early ? std::min(this->Options.FirstElectionTimeout,
+                          this->Options.ElectionTimeout)
+               : this->Options.ElectionTimeout;
 }
 
-void RaftNode::resetElection(TimePoint Now) {
+void RaftNode::resetElectionDeadline(TimePoint Now) {
   auto Base = std::chrono::duration_cast<Duration>(this->electionTimeout());
   Duration Extra(this->Random() % static_cast<std::uint64_t>(Base.count()));
-  this->ElectionAt = Now + Base + Extra;
+  this->ElectionDeadline = Now + Base + Extra;
 }
 
 void RaftNode::broadcast(bool Heartbeat, TimePoint Now) {
   ++this->Round;
-  this->NextHeartbeat = Now + this->Options.Election / HeartbeatsPerElection;
+  this->NextHeartbeat =
+      Now + this->Options.ElectionTimeout / HeartbeatsPerElectionTimeout;
   this->syncProgress(Now);
   for (const auto &[Name, Follower] : this->Followers)
     this->sendTo(Name, /*FromMatch=*/Heartbeat);
--- a/consensus/raft_node.h
+++ b/consensus/raft_node.h
@@ -27,16 +27,16 @@
 
 struct RaftOptions {
   std::string Name;
-  std::chrono::milliseconds Election{500};
+  std::chrono::milliseconds ElectionTimeout{500};
   /// In place of Election before the first campaigns of a replica that has
   /// heard no leader since it started: where all have restarted together,
   /// nothing is gained by waiting for one. Several times a synced write and a
   /// round trip.
-  std::chrono::milliseconds FirstElection{150};
+  std::chrono::milliseconds FirstElectionTimeout{150};
   /// How many campaigns may be so early. Where disks are slow, an election
   /// needs the longer time to come to an end.
-  int EarlyCampaigns = 3;
-  std::uint64_t SnapshotEvery = 1000;
+  int MaxEarlyCampaigns = 3;
+  std::uint64_t EntriesPerSnapshot = 1000;
   std::uint64_t Seed = 1;
   /// Off only in tests that show what the mechanisms are for.
   bool PreVote = true;
@@ -55,7 +55,7 @@
   virtual void restoreState(const peer::Snapshot &Snapshot) = 0;
   /// The leader has been confirmed after the read was asked for.
   virtual void onReadReady(std::uint64_t Read) = 0;
-  virtual void onRole(bool Leads) = 0;
+  virtual void onLeadershipChange(bool Leads) = 0;
 };
 
 enum class RaftRole { Follower, PreCandidate, Candidate, Leader };
@@ -96,7 +96,7 @@
   /// On the leader: when a replica was last heard; nothing if it is none.
   std::optional<TimePoint> lastHeard(const std::string &Name) const;
   /// When this replica last heard a leader or led itself.
-  TimePoint leaderHeard() const { return this->LeaderHeard; }
+  TimePoint lastLeaderContact() const { return this->LastLeaderContact; }
 
 private:
   struct Progress {
@@ -118,17 +118,17 @@
   void onVoteRequest(const peer::RaftMessage &Message, TimePoint Now);
   void onVoteReply(const peer::RaftMessage &Message, TimePoint Now);
   bool mayVoteFor(const peer::RaftMessage &Message, TimePoint Now) const;
-  void resetElection(TimePoint Now);
+  void resetElectionDeadline(TimePoint Now);
   std::chrono::milliseconds electionTimeout() const;
-  bool hearsLeader(TimePoint Now) const;
+  bool hasRecentLeader(TimePoint Now) const;
   void checkQuorum(TimePoint Now);
-  void saveHard(std::uint64_t Term, const std::string &VotedFor);
+  void persistHardState(std::uint64_t Term, const std::string &VotedFor);
 
   // Replication.
   void onAppend(const peer::RaftMessage &Message, TimePoint Now);
   void onAppendReply(const peer::RaftMessage &Message, TimePoint Now);
-  void onInstall(const peer::RaftMessage &Message, TimePoint Now);
-  void takeEntries(const peer::AppendRequest &Append);
+  void onInstallSnapshot(const peer::RaftMessage &Message, TimePoint Now);
+  void storeEntries(const peer::AppendRequest &Append);
   void appendLocal(peer::LogEntry Entry, TimePoint Now);
   void broadcast(bool Heartbeat, TimePoint Now);
   void sendTo(const std::string &Name, bool FromMatch);
@@ -156,9 +156,9 @@
   std::uint64_t Applied = 0;
   std::mt19937_64 Random;
 
-  TimePoint ElectionAt;
+  TimePoint ElectionDeadline;
   int Campaigns = 0;
-  TimePoint LeaderHeard = TimePoint::min();
+  TimePoint LastLeaderContact = TimePoint::min();
   TimePoint NextHeartbeat;
   std::set<std::string> Votes;
   std::map<std::string, Progress> Followers;
--- a/consensus/raft_replication.cpp
+++ b/consensus/raft_replication.cpp
@@ -81,8 +81,8 @@
   }
   this->Role = RaftRole::Follower;
   this->Leader = Message.from();
-  this->LeaderHeard = Now;
-  this->resetElection(Now);
+  this->LastLeaderContact = Now;
+  this->resetElectionDeadline(Now);
   Reply->set_round(Append.round());
 
   std::uint64_t Previous = Append.previous_index();
@@ -96,7 +96,7 @@
     return;
   }
   try {
-    this->takeEntries(Append);
+    this->storeEntries(Append);
   } catch (const Error &) {
     // What has not been stored is not acknowledged.
     return;
@@ -113,7 +113,7 @@
   }
 }
 
-void RaftNode::takeEntries(const peer::AppendRequest &Append) {
+void RaftNode::storeEntries(const peer::AppendRequest &Append) {
   std::vector<peer::LogEntry> New;
   for (const peer::LogEntry &Entry : Append.entries()) {
     if (Entry.index() <= this->Log.snapshot().index())
@@ -164,13 +164,14 @@
   this->finishReads();
 }
 
-void RaftNode::onInstall(const peer::RaftMessage &Message, TimePoint Now) {
+void RaftNode::onInstallSnapshot(const peer::RaftMessage &Message,
+                                 TimePoint Now) {
   if (Message.term() < this->Hard.term())
     return;
   this->Role = RaftRole::Follower;
   this->Leader = Message.from();
-  this->LeaderHeard = Now;
-  this->resetElection(Now);
+  this->LastLeaderContact = Now;
+  this->resetElectionDeadline(Now);
   const peer::Snapshot &Snapshot = Message.install_snapshot().snapshot();
   if (Snapshot.index() > this->Commit) {
     RaftLog Compacted = this->Log;
@@ -230,7 +231,7 @@
 
 void RaftNode::maybeSnapshot() {
   if (this->Applied <
-      this->Log.snapshot().index() + this->Options.SnapshotEvery)
+      this->Log.snapshot().index() + this->Options.EntriesPerSnapshot)
     return;
   peer::Snapshot New;
   New.set_index(this->Applied);
--- a/consensus/record_file.cpp
+++ b/consensus/record_file.cpp
@@ -17,13 +17,13 @@
 
 namespace {
 
-constexpr std::uint64_t HeaderSize = 12;
-constexpr std::uint64_t LengthSize = 4;
+constexpr std::uint64_t HeaderBytes = 12;
+constexpr std::uint64_t LengthBytes = 4;
 /// The last byte of every record. A crash can leave a file grown to its new
 /// size but with zeros where data was to come; this byte tells that apart
 /// from damage to a record that was whole.
 constexpr char EndMark = static_cast<char>(0xa5);
-constexpr std::uint32_t MaxRecord = 268435456;
+constexpr std::uint32_t MaxRecordBytes = 268435456;
 constexpr mode_t FileMode = 0600;
 
 std::uint32_t checksum(const char *Data, std::size_t Size) {
@@ -52,16 +52,17 @@
 std::string encode(const std::string &Content) {
   std::string Record;
   putNumber(Record, static_cast<std::uint32_t>(Content.size()));
-  putNumber(Record, checksum(Record.data(), LengthSize));
+  putNumber(Record, checksum(Record.data(), LengthBytes));
   putNumber(Record, checksum(Content.data(), Content.size()));
   return Record + Content + EndMark;
 }
 
-[[noreturn]] void fail(const std::string &Path, const std::string &What) {
+[[noreturn]] void throwSystemError(const std::string &Path,
+                                   const std::string &What) {
   throw Error("storage", Path, fmt::format("{}: {}", What, strerror(errno)));
 }
 
-[[noreturn]] void damaged(const std::string &Path, std::uint64_t Offset) {
+[[noreturn]] void throwDamaged(const std::string &Path, std::uint64_t Offset) {
   throw Error("storage", Path,
               fmt::format("record at offset {} is damaged; restore the replica "
                           "under a new name",
@@ -76,7 +77,7 @@
     if (Count < 0 && errno == EINTR)
       continue;
     if (Count <= 0)
-      fail(Path, "cannot write");
+      throwSystemError(Path, "cannot write");
     Done += static_cast<std::size_t>(Count);
   }
 }
@@ -85,11 +86,11 @@
   std::string Folder = std::filesystem::path(Path).parent_path().string();
   int Descriptor = ::open(Folder.c_str(), O_RDONLY | O_DIRECTORY);
   if (Descriptor < 0)
-    fail(Folder, "cannot open the folder");
+    throwSystemError(Folder, "cannot open the folder");
   int Result = ::fsync(Descriptor);
   ::close(Descriptor);
   if (Result != 0)
-    fail(Folder, "cannot sync the folder");
+    throwSystemError(Folder, "cannot sync the folder");
 }
 
 bool isAllZero(const std::string &Data, std::uint64_t From) {
@@ -108,7 +109,7 @@
   this->File =
       ::open(this->Path.c_str(), O_RDWR | O_CREAT | O_CLOEXEC, FileMode);
   if (this->File < 0)
-    fail(this->Path, "cannot open");
+    throwSystemError(this->Path, "cannot open");
   syncFolderOf(this->Path);
 }
 
@@ -124,40 +125,40 @@
   while (Offset < Data.size()) {
     std::uint64_t Left = Data.size() - Offset;
     // A crash leaves a short record, or bytes that were never written.
-    if (Left < HeaderSize || isAllZero(Data, Offset))
+    if (Left < HeaderBytes || isAllZero(Data, Offset))
       break;
     const char *Header = Data.data() + Offset;
     std::uint32_t Length = getNumber(Header);
     bool HeaderGood =
-        getNumber(Header + LengthSize) == checksum(Header, LengthSize);
-    bool HeaderTorn = isAllZero(Data, Offset + HeaderSize);
+        getNumber(Header + LengthBytes) == checksum(Header, LengthBytes);
+    bool HeaderTorn = isAllZero(Data, Offset + HeaderBytes);
     if (!HeaderGood && HeaderTorn)
       break;
-    if (!HeaderGood || Length > MaxRecord)
-      damaged(this->Path, Offset);
-    std::uint64_t RecordSize = HeaderSize + Length + 1;
+    if (!HeaderGood || Length > MaxRecordBytes)
+      throwDamaged(this->Path, Offset);
+    std::uint64_t RecordSize = HeaderBytes + Length + 1;
     if (Left < RecordSize || isAllZero(Data, Offset + RecordSize - 1))
       break;
-    const char *Content = Header + HeaderSize;
+    const char *Content = Header + HeaderBytes;
     bool ContentGood =
-        getNumber(Header + 2 * LengthSize) == checksum(Content, Length) &&
+        getNumber(Header + 2 * LengthBytes) == checksum(Content, Length) &&
         Content[Length] == EndMark;
     if (!ContentGood)
-      damaged(this->Path, Offset);
+      throwDamaged(this->Path, Offset);
     Records.emplace_back(Content, Length);
     Offset += RecordSize;
   }
-  this->Torn = Data.size() - Offset;
+  this->TornBytes = Data.size() - Offset;
   this->Size = Offset;
   if (::ftruncate(this->File, static_cast<off_t>(Offset)) != 0)
-    fail(this->Path, "cannot cut the torn tail");
+    throwSystemError(this->Path, "cannot cut the torn tail");
   if (::lseek(this->File, static_cast<off_t>(Offset), SEEK_SET) < 0)
-    fail(this->Path, "cannot seek");
+    throwSystemError(this->Path, "cannot seek");
   return Records;
 }
 
 void RecordFile::requireUsable() const {
-  if (this->Broken)
+  if (this->Unusable)
     throw Error("storage", this->Path,
                 "an earlier failure left its end unknown; restart");
 }
@@ -174,7 +175,7 @@
     bool Cut =
         ::ftruncate(this->File, static_cast<off_t>(this->Size)) == 0 &&
         ::lseek(this->File, static_cast<off_t>(this->Size), SEEK_SET) >= 0;
-    this->Broken = !Cut;
+    this->Unusable = !Cut;
     throw;
   }
   this->Size += Record.size();
@@ -184,8 +185,8 @@
   this->requireUsable();
   if (::fsync(this->File) == 0)
     return;
-  this->Broken = true;
-  fail(this->Path, "cannot sync");
+  this->Unusable = true;
+  throwSystemError(this->Path, "cannot sync");
 }
 
 void replaceRecordFile(const std::string &Path,
@@ -195,12 +196,12 @@
   int File = ::open(Temporary.c_str(), O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC,
                     FileMode);
   if (File < 0)
-    fail(Temporary, "cannot open");
+    throwSystemError(Temporary, "cannot open");
   try {
     for (const std::string &Content : Records)
       writeAll(File, encode(Content), Write, Temporary);
     if (::fsync(File) != 0)
-      fail(Temporary, "cannot sync");
+      throwSystemError(Temporary, "cannot sync");
   } catch (const Error &) {
     ::close(File);
     ::unlink(Temporary.c_str());
@@ -208,7 +209,7 @@
   }
   ::close(File);
   if (::rename(Temporary.c_str(), Path.c_str()) != 0)
-    fail(Path, "cannot replace");
+    throwSystemError(Path, "cannot replace");
   syncFolderOf(Path);
 }
 
--- a/consensus/record_file.h
+++ b/consensus/record_file.h
@@ -40,7 +40,7 @@
   void sync();
 
   /// Bytes that were cut off by readAll().
-  std::uint64_t tornBytes() const { return this->Torn; }
+  std::uint64_t tornBytes() const { return this->TornBytes; }
   const std::string &path() const { return this->Path; }
 
 private:
@@ -50,8 +50,8 @@
   WriteFunction Write;
   int File = -1;
   std::uint64_t Size = 0;
-  std::uint64_t Torn = 0;
-  bool Broken = false;
+  std::uint64_t TornBytes = 0;
+  bool Unusable = false;
 };
 
 /// Writes a file of one record that replaces \p Path in one step.
--- a/control/control_service.cpp
+++ b/control/control_service.cpp
@@ -195,7 +195,7 @@
       this->UnheardSince.try_emplace(Replica.Node, this->Latest.Steady);
   // What it answered may lie here unread, as after a disk that stood still.
   TimePoint Unheard = std::max(Since->second, this->LastBehind);
-  if (this->Latest.Steady - Unheard < this->Options.Raft.Election)
+  if (this->Latest.Steady - Unheard < this->Options.Raft.ElectionTimeout)
     return;
   Since->second = this->Latest.Steady;
   this->Sink.reconnect(Replica);
@@ -300,7 +300,7 @@
 
 // ---- Time and roles ----
 
-void ControlService::onRole(bool Leads) {
+void ControlService::onLeadershipChange(bool Leads) {
   if (Leads) {
     this->Members.reset(this->Raft->term(), this->Latest.Steady);
     return;
@@ -369,7 +369,7 @@
                   [&](const peer::Replica &Known) {
                     return Known.name() == this->Options.Self.name();
                   });
-  TimePoint Heard = std::max(this->Raft->leaderHeard(), this->Started);
+  TimePoint Heard = std::max(this->Raft->lastLeaderContact(), this->Started);
   bool Silent = Now.Steady - Heard > this->Options.JoinAfterSilence;
   if (Member && !Silent)
     return;
--- a/control/control_service.h
+++ b/control/control_service.h
@@ -100,7 +100,7 @@
   std::string saveState() override;
   void restoreState(const peer::Snapshot &Snapshot) override;
   void onReadReady(std::uint64_t Read) override;
-  void onRole(bool Leads) override;
+  void onLeadershipChange(bool Leads) override;
 
 private:
   struct Proposal {
--- a/emulator/virtual_nodes.h
+++ b/emulator/virtual_nodes.h
@@ -226,8 +226,8 @@
                                        std::uint64_t Life) {
     ControlOptions Options;
     Options.Raft.Name = Name;
-    Options.Raft.Election = std::chrono::milliseconds(200);
-    Options.Raft.SnapshotEvery = 20;
+    Options.Raft.ElectionTimeout = std::chrono::milliseconds(200);
+    Options.Raft.EntriesPerSnapshot = 20;
     Options.Raft.Seed = Cluster.Options.Seed * 1000 + Life;
     Options.Lease = virtual_cluster::Lease;
     Options.ProposalTimeout = std::chrono::milliseconds(2000);
--- a/main/control_process.cpp
+++ b/main/control_process.cpp
@@ -58,8 +58,8 @@
 ControlOptions ControlProcess::controlOptions() const {
   ControlOptions Options;
   Options.Raft.Name = this->Values.Node;
-  Options.Raft.Election = this->Values.Control.Election;
-  Options.Raft.SnapshotEvery = this->Values.Control.SnapshotEvery;
+  Options.Raft.ElectionTimeout = this->Values.Control.Election;
+  Options.Raft.EntriesPerSnapshot = this->Values.Control.SnapshotEvery;
   Options.Raft.Seed = this->Incarnation;
   Options.Groups.Groups = this->Values.Control.HolderGroups;
   Options.Groups.ReplaceAfter = this->Values.Control.HolderReplaceAfter;
--- a/main/seeded_control_process.cpp
+++ b/main/seeded_control_process.cpp
@@ -135,8 +135,8 @@
 ControlOptions SeededControlProcess::controlOptions() const {
   ControlOptions Options;
   Options.Raft.Name = this->Replica;
-  Options.Raft.Election = Election;
-  Options.Raft.SnapshotEvery = SnapshotEvery;
+  Options.Raft.ElectionTimeout = Election;
+  Options.Raft.EntriesPerSnapshot = SnapshotEvery;
   Options.Raft.Seed = this->Incarnation;
   // Best-effort jobs are claimed nowhere.
   Options.Groups.Groups = 0;
--- a/tests/consensus/raft_cluster.cpp
+++ b/tests/consensus/raft_cluster.cpp
@@ -127,7 +127,7 @@
   }
 }
 
-void RaftCluster::Node::onRole(bool Leads) {
+void RaftCluster::Node::onLeadershipChange(bool Leads) {
   if (!Leads || !this->Raft)
     return;
   auto [Known, New] =
--- a/tests/consensus/raft_cluster.h
+++ b/tests/consensus/raft_cluster.h
@@ -62,7 +62,7 @@
     std::string saveState() override;
     void restoreState(const peer::Snapshot &Snapshot) override;
     void onReadReady(std::uint64_t) override { ++this->Cluster.Reads; }
-    void onRole(bool Leads) override;
+    void onLeadershipChange(bool Leads) override;
 
     RaftCluster &Cluster;
     std::string Name;
--- a/tests/consensus/raft_fuzz_test.cpp
+++ b/tests/consensus/raft_fuzz_test.cpp
@@ -65,8 +65,8 @@
 
 Outcome runSeed(std::uint64_t Seed, bool Sync) {
   RaftOptions Options;
-  Options.Election = 200ms;
-  Options.SnapshotEvery = 5 + Seed % 20;
+  Options.ElectionTimeout = 200ms;
+  Options.EntriesPerSnapshot = 5 + Seed % 20;
   Options.SyncBeforeReply = Sync;
   RaftCluster Cluster(Seed % 2 == 0 ? 3 : 5, Options, Seed);
   std::mt19937_64 Random(Seed);
--- a/tests/consensus/raft_node_test.cpp
+++ b/tests/consensus/raft_node_test.cpp
@@ -10,8 +10,8 @@
 
 RaftOptions defaults() {
   RaftOptions Options;
-  Options.Election = 200ms;
-  Options.SnapshotEvery = 30;
+  Options.ElectionTimeout = 200ms;
+  Options.EntriesPerSnapshot = 30;
   return Options;
 }
 
@@ -51,15 +51,15 @@
 // All hosts may lose power together, and callers wait for the first leader.
 TEST(RaftNodeTest, WhereAllRestartTogetherALeaderIsFoundEarly) {
   struct Row {
-    int EarlyCampaigns;
+    int MaxEarlyCampaigns;
     Duration Longest;
     bool Expected;
   };
   const Row Rows[] = {{3, 400ms, true}, {0, 400ms, false}, {0, 1500ms, true}};
   for (const Row &Row : Rows) {
     RaftOptions Options = defaults();
-    Options.Election = 500ms;
-    Options.EarlyCampaigns = Row.EarlyCampaigns;
+    Options.ElectionTimeout = 500ms;
+    Options.MaxEarlyCampaigns = Row.MaxEarlyCampaigns;
     RaftCluster Cluster(3, Options, 3);
     Cluster.run(5s);
     for (const std::string &Name : Cluster.names())
@@ -75,7 +75,7 @@
 // One that restarts alone must not depose a leader it has not heard yet.
 TEST(RaftNodeTest, AnEarlyCampaignDeposesNoLeader) {
   RaftOptions Options = defaults();
-  Options.FirstElection = 5ms;
+  Options.FirstElectionTimeout = 5ms;
   RaftCluster Cluster(3, Options, 3);
   Cluster.run(2s);
   std::string Leader = Cluster.leader();
