--- a/main/lease_agent_process.cpp
+++ b/main/lease_agent_process.cpp
@@ -43,7 +43,7 @@
     this->Node.links().setRevision(this->Catalog.revision());
   }
   void onMember(const peer::Member &, Instant) override {}
-  void onOutranked(std::uint64_t Known, Instant Now) override;
+  void onNewerIncarnation(std::uint64_t Known, Instant Now) override;
 
   void onStart(const WorkerLife &Life, const RunKey &Run,
                WorkerReply Reply) override;
@@ -178,7 +178,7 @@
       Now);
 }
 
-void LeaseAgentProcess::onOutranked(std::uint64_t Known, Instant Now) {
+void LeaseAgentProcess::onNewerIncarnation(std::uint64_t Known, Instant Now) {
   this->Keeper.outrank(Known);
   this->announceChanges(Now);
 }
--- a/main/lease_entry_process.cpp
+++ b/main/lease_entry_process.cpp
@@ -37,11 +37,11 @@
   void reload() override;
 
   void onConfirmed(TimePoint Asked) override;
-  void onSearched(TimePoint Since) override;
+  void onNoLeaderSince(TimePoint Since) override;
   void onNewerRevision(std::uint64_t Revision) override;
   void onCatalog(Instant Now) override;
   void onMember(const peer::Member &Member, Instant Now) override;
-  void onOutranked(std::uint64_t Known, Instant Now) override;
+  void onNewerIncarnation(std::uint64_t Known, Instant Now) override;
 
 private:
   CoordinatorOptions coordinatorOptions() const;
@@ -167,7 +167,7 @@
   this->Table.confirm(Asked);
 }
 
-void LeaseEntryProcess::onSearched(TimePoint Since) {
+void LeaseEntryProcess::onNoLeaderSince(TimePoint Since) {
   this->Table.search(Since);
 }
 
@@ -204,7 +204,7 @@
   this->Coordinator.onMember(Member, Now);
 }
 
-void LeaseEntryProcess::onOutranked(std::uint64_t Known, Instant Now) {
+void LeaseEntryProcess::onNewerIncarnation(std::uint64_t Known, Instant Now) {
   this->Log.decision("incarnation_raised", {{"known", Known}});
   this->Announce.update(
       [Known](peer::Member &Self) { Self.set_incarnation(Known + 1); }, Now);
--- a/main/lease_wiring.h
+++ b/main/lease_wiring.h
@@ -83,8 +83,8 @@
 
 inline AnnouncerOptions planEntryAnnouncer(const NodePlan &Plan) {
   AnnouncerOptions Options = planAnnouncer(Plan);
-  Options.AskOthersAfter = EntryAsksOthersAfter;
-  Options.SearchEvery = EntrySearchEvery;
+  Options.SearchDelay = EntryAsksOthersAfter;
+  Options.SearchInterval = EntrySearchEvery;
   return Options;
 }
 
--- a/membership/announcer.cpp
+++ b/membership/announcer.cpp
@@ -9,13 +9,13 @@
 
 /// Intervals without an answer after which a replica is left and its
 /// connection replaced.
-constexpr int SilentIntervals = 2;
+constexpr int MaxSilentIntervals = 2;
 /// Heartbeats in one interval while a node has no configuration: it can do
 /// nothing before, and one message more is cheap.
-constexpr int BeatsBeforeBegun = 4;
+constexpr int StartupHeartbeatsPerInterval = 4;
 /// Questions before their time are at least this part of an interval apart:
 /// messages of many peers, or many late rounds, must not make one each.
-constexpr int EarlyPart = 4;
+constexpr int MaxEarlyHeartbeatsPerInterval = 4;
 
 } // namespace
 
@@ -26,65 +26,68 @@
       Sink(Sink), Events(Events), Search(this->Options.Controls) {}
 
 void Announcer::tick(Instant Now, const InputProgress &Input) {
-  this->Search.watch(Now.Steady, Input);
+  this->Search.noteInputProgress(Now.Steady, Input);
   // What was asked before may be answered here unread; a new question ends
   // the doubt within a round trip.
   bool WasBehind =
-      Input.LastBehind > this->LastBeat && this->mayAskEarly(Now.Steady);
-  this->watchSilence(Now.Steady);
-  if (Now.Steady >= this->NextBeat || WasBehind)
-    this->beat(Now);
-  this->Events.onSearched(this->Search.searchedSince());
+      Input.LastBehind > this->LastHeartbeat && this->canSendEarly(Now.Steady);
+  this->checkSilence(Now.Steady);
+  if (Now.Steady >= this->NextHeartbeat || WasBehind)
+    this->sendHeartbeat(Now);
+  this->Events.onNoLeaderSince(this->Search.noLeaderSince());
 }
 
-void Announcer::watchSilence(TimePoint Now) {
-  auto Patience = SilentIntervals * this->period();
+void Announcer::checkSilence(TimePoint Now) {
+  auto Timeout = MaxSilentIntervals * this->heartbeatInterval();
   if (!this->Search.isSearching())
-    this->Search.leaveSilent(Patience, Now);
-  bool Begun = this->Catalog.revision() > 0;
-  if (!this->Search.isSearching() && Begun)
-    this->Search.askOthersAfter(this->Options.AskOthersAfter, Now);
+    this->Search.searchIfSilent(Timeout, Now);
+  bool HasConfiguration = this->Catalog.revision() > 0;
+  if (!this->Search.isSearching() && HasConfiguration)
+    this->Search.searchIfLate(this->Options.SearchDelay, Now);
   if (!this->Search.isSearching())
     return;
-  this->NextBeat = std::min(this->NextBeat, this->LastBeat + this->pause());
-  for (const PeerRef &Silent : this->Search.takeSilent(Patience, Now))
+  this->NextHeartbeat =
+      std::min(this->NextHeartbeat, this->LastHeartbeat + this->nextDelay());
+  for (const PeerRef &Silent : this->Search.takeSilentReplicas(Timeout, Now))
     this->Sink.reconnect(Silent);
 }
 
-std::chrono::milliseconds Announcer::period() const {
-  bool Begun = this->Catalog.revision() > 0;
-  return Begun ? this->Options.Interval
-               : this->Options.Interval / BeatsBeforeBegun;
+std::chrono::milliseconds Announcer::heartbeatInterval() const {
+  bool HasConfiguration = this->Catalog.revision() > 0;
+  return HasConfiguration
+             ? this->Options.Interval
+             : this->Options.Interval / StartupHeartbeatsPerInterval;
 }
 
-std::chrono::milliseconds Announcer::pause() const {
+std::chrono::milliseconds Announcer::nextDelay() const {
   return this->Search.isSearching()
-             ? std::min(this->Options.SearchEvery, this->period())
-             : this->period();
+             ? std::min(this->Options.SearchInterval, this->heartbeatInterval())
+             : this->heartbeatInterval();
 }
 
-bool Announcer::mayAskEarly(TimePoint Now) const {
-  return this->LastBeat == TimePoint::min() ||
-         Now - this->LastBeat >= this->Options.Interval / EarlyPart;
+bool Announcer::canSendEarly(TimePoint Now) const {
+  return this->LastHeartbeat == TimePoint::min() ||
+         Now - this->LastHeartbeat >=
+             this->Options.Interval / MaxEarlyHeartbeatsPerInterval;
 }
 
 void Announcer::update(const std::function<void(peer::Member &)> &Change,
                        Instant Now) {
   Change(this->Self);
-  this->beat(Now);
+  this->sendHeartbeat(Now);
 }
 
 void Announcer::noteRevision(std::uint64_t Revision, Instant Now) {
   bool Behind = Revision > this->Catalog.revision();
   if (Behind)
     this->Events.onNewerRevision(Revision);
-  if (Behind && this->mayAskEarly(Now.Steady))
-    this->beat(Now);
+  if (Behind && this->canSendEarly(Now.Steady))
+    this->sendHeartbeat(Now);
 }
 
-void Announcer::beat(Instant Now) {
-  this->LastBeat = Now.Steady;
-  this->NextBeat = Now.Steady + this->pause();
+void Announcer::sendHeartbeat(Instant Now) {
+  this->LastHeartbeat = Now.Steady;
+  this->NextHeartbeat = Now.Steady + this->nextDelay();
   peer::Message Message;
   peer::Heartbeat *Beat = Message.mutable_heartbeat();
   *Beat->mutable_member() = this->Self;
@@ -92,8 +95,8 @@
   Beat->set_table_term(this->TableTerm);
   Beat->set_table_version(this->TableVersion);
   Beat->set_sequence(++this->Sequence);
-  this->Sink.send(this->Search.whom(), std::move(Message));
-  this->Search.onAsked(this->Sequence, Now.Steady);
+  this->Sink.send(this->Search.target(), std::move(Message));
+  this->Search.onRequestSent(this->Sequence, Now.Steady);
 }
 
 void Announcer::addControls(const std::vector<PeerRef> &Added) {
@@ -104,10 +107,11 @@
   bool Follow = this->Search.onRefused(Reply.sequence(), Reply.leader_address(),
                                        Now.Steady);
   if (Follow)
-    this->NextBeat = TimePoint::min();
+    this->NextHeartbeat = TimePoint::min();
   else
-    this->NextBeat = std::min(this->NextBeat, this->LastBeat + this->pause());
-  this->Events.onSearched(this->Search.searchedSince());
+    this->NextHeartbeat =
+        std::min(this->NextHeartbeat, this->LastHeartbeat + this->nextDelay());
+  this->Events.onNoLeaderSince(this->Search.noLeaderSince());
 }
 
 void Announcer::onReply(const peer::HeartbeatReply &Reply, Instant Now) {
@@ -115,28 +119,28 @@
   if (Reply.incarnation() != this->Self.incarnation())
     return;
   if (Reply.known_incarnation() > this->Self.incarnation())
-    this->Events.onOutranked(Reply.known_incarnation(), Now);
+    this->Events.onNewerIncarnation(Reply.known_incarnation(), Now);
   // A replica's name changes when its host loses its disk; its address says
   // enough.
-  std::vector<PeerRef> Told;
+  std::vector<PeerRef> Reported;
   for (const peer::Replica &Replica : Reply.replicas())
-    Told.push_back({"", Replica.address()});
-  this->addControls(Told);
+    Reported.push_back({"", Replica.address()});
+  this->addControls(Reported);
   if (!Reply.accepted()) {
     this->onRefused(Reply, Now);
     return;
   }
-  bool Asked = this->Search.isOpen(Reply.sequence());
+  bool Asked = this->Search.isPending(Reply.sequence());
   // A life begins with a whole state that a quorum has confirmed for it.
-  bool Begun = this->Catalog.revision() > 0;
-  if (!Asked && !Begun)
+  bool HasConfiguration = this->Catalog.revision() > 0;
+  if (!Asked && !HasConfiguration)
     return;
   if (Reply.has_catalog() && this->Catalog.merge(Reply.catalog()))
     this->Events.onCatalog(Now);
   if (Reply.has_members())
-    this->takeMembers(Reply.members(), Now);
+    this->applyMembers(Reply.members(), Now);
   if (!Asked) {
-    this->Search.onPushed(Now.Steady);
+    this->Search.onUnsolicitedReply(Now.Steady);
     return;
   }
   // Counted from the question: the answer may have been long under way. Also
@@ -144,30 +148,30 @@
   std::optional<TimePoint> Sent =
       this->Search.onConfirmed(Reply.sequence(), Now.Steady);
   // An update that does not fit what is held here has not been taken over.
-  bool Holds = Reply.catalog().revision() <= this->Catalog.revision();
-  if (Sent && Holds)
+  bool IsUpToDate = Reply.catalog().revision() <= this->Catalog.revision();
+  if (Sent && IsUpToDate)
     this->Events.onConfirmed(*Sent);
 }
 
-void Announcer::takeMembers(const peer::MemberUpdate &Update, Instant Now) {
-  if (!Update.partial() && !this->takeTable(Update, Now))
+void Announcer::applyMembers(const peer::MemberUpdate &Update, Instant Now) {
+  if (!Update.partial() && !this->acceptTable(Update, Now))
     return;
   for (const peer::Member &Member : Update.members()) {
     peer::Member &Known = this->Table[Member.name()];
     // Late words of an older life change nothing.
     if (Member.incarnation() < Known.incarnation())
       continue;
-    bool Gone = Known.incarnation() == Member.incarnation() &&
-                Known.state() == peer::MEMBER_LEAVING &&
-                Member.state() == peer::MEMBER_ALIVE;
-    if (Gone)
+    bool HasLeft = Known.incarnation() == Member.incarnation() &&
+                   Known.state() == peer::MEMBER_LEAVING &&
+                   Member.state() == peer::MEMBER_ALIVE;
+    if (HasLeft)
       continue;
     Known = Member;
     this->Events.onMember(Member, Now);
   }
 }
 
-bool Announcer::takeTable(const peer::MemberUpdate &Update, Instant Now) {
+bool Announcer::acceptTable(const peer::MemberUpdate &Update, Instant Now) {
   bool SameTable = Update.term() == this->TableTerm;
   bool Older = Update.term() < this->TableTerm ||
                (SameTable && Update.version() < this->TableVersion);
@@ -176,11 +180,11 @@
   this->TableTerm = Update.term();
   this->TableVersion = Update.version();
   if (Update.full())
-    this->dropMissing(Update, Now);
+    this->markMissingLost(Update, Now);
   return true;
 }
 
-void Announcer::dropMissing(const peer::MemberUpdate &Update, Instant Now) {
+void Announcer::markMissingLost(const peer::MemberUpdate &Update, Instant Now) {
   std::set<std::string> Present;
   for (const peer::Member &Member : Update.members())
     Present.insert(Member.name());
--- a/membership/announcer.h
+++ b/membership/announcer.h
@@ -26,12 +26,12 @@
 public:
   virtual ~AnnouncerEvents() = default;
   /// A quorum of control stood behind the configuration held here at some
-  /// time after \p Asked.
-  virtual void onConfirmed(TimePoint Asked) = 0;
+  /// time after \p RequestSent.
+  virtual void onConfirmed(TimePoint RequestSent) = 0;
   /// Each control replica known has been asked since \p Since whether that
   /// configuration is the newest, and none has answered as leader; the least
   /// time if that cannot be said.
-  virtual void onSearched(TimePoint Since) {}
+  virtual void onNoLeaderSince(TimePoint Since) {}
   /// A peer has a newer revision in force than is held here.
   virtual void onNewerRevision(std::uint64_t Revision) {}
   virtual void onCatalog(Instant Now) = 0;
@@ -39,7 +39,7 @@
   /// Control knows a higher incarnation of this node: the host's clock was set
   /// back before this life began. Peers take its words for those of an ended
   /// life until it announces itself with a higher one.
-  virtual void onOutranked(std::uint64_t Known, Instant Now) {}
+  virtual void onNewerIncarnation(std::uint64_t Known, Instant Now) {}
 };
 
 struct AnnouncerOptions {
@@ -48,8 +48,8 @@
   /// A question that stays unanswered for so long is put to others as well, and
   /// while none answers as leader the next goes out by the second of these.
   /// Slow by default: hundreds of nodes ask when a leader has gone.
-  std::chrono::milliseconds AskOthersAfter{2000};
-  std::chrono::milliseconds SearchEvery{500};
+  std::chrono::milliseconds SearchDelay{2000};
+  std::chrono::milliseconds SearchInterval{500};
 };
 
 class Announcer {
@@ -66,7 +66,7 @@
   void onReply(const peer::HeartbeatReply &Reply, Instant Now);
   /// How control has answered of late, for logs.
   std::string describeControl(TimePoint Now) const {
-    return this->Search.describeAnswers(Now);
+    return this->Search.describeReplies(Now);
   }
   /// Adds control replicas to those that are tried.
   void addControls(const std::vector<PeerRef> &Added);
@@ -74,20 +74,20 @@
   void update(const std::function<void(peer::Member &)> &Change, Instant Now);
 
 private:
-  void beat(Instant Now);
+  void sendHeartbeat(Instant Now);
   /// Between two questions sent in the ordinary course.
-  std::chrono::milliseconds period() const;
+  std::chrono::milliseconds heartbeatInterval() const;
   /// Until the next question.
-  std::chrono::milliseconds pause() const;
+  std::chrono::milliseconds nextDelay() const;
   /// Whether this process may ask before its time, as it asked not just now.
-  bool mayAskEarly(TimePoint Now) const;
+  bool canSendEarly(TimePoint Now) const;
   /// Looks for replicas that are silent before the next question goes out.
-  void watchSilence(TimePoint Now);
+  void checkSilence(TimePoint Now);
   void onRefused(const peer::HeartbeatReply &Reply, Instant Now);
-  void dropMissing(const peer::MemberUpdate &Update, Instant Now);
+  void markMissingLost(const peer::MemberUpdate &Update, Instant Now);
   /// \returns whether the update belongs to a table at least as new.
-  bool takeTable(const peer::MemberUpdate &Update, Instant Now);
-  void takeMembers(const peer::MemberUpdate &Update, Instant Now);
+  bool acceptTable(const peer::MemberUpdate &Update, Instant Now);
+  void applyMembers(const peer::MemberUpdate &Update, Instant Now);
 
   AnnouncerOptions Options;
   peer::Member Self;
@@ -99,8 +99,8 @@
   std::uint64_t TableVersion = 0;
   std::uint64_t Sequence = 0;
   ControlSearch Search;
-  TimePoint NextBeat = TimePoint::min();
-  TimePoint LastBeat = TimePoint::min();
+  TimePoint NextHeartbeat = TimePoint::min();
+  TimePoint LastHeartbeat = TimePoint::min();
 };
 
 } // namespace yardwheel
--- a/membership/control_search.cpp
+++ b/membership/control_search.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 /// Questions that may still be answered; several seconds of a search.
-constexpr std::size_t MaxRemembered = 64;
+constexpr std::size_t MaxPendingRequests = 64;
 
 } // namespace
 
@@ -18,8 +18,8 @@
     this->Replicas.push_back({std::move(Peer)});
 }
 
-void ControlSearch::add(const std::vector<PeerRef> &More) {
-  for (const PeerRef &New : More)
+void ControlSearch::add(const std::vector<PeerRef> &Added) {
+  for (const PeerRef &New : Added)
     if (!this->find(New.Address))
       this->Replicas.push_back({New});
 }
@@ -32,209 +32,217 @@
   return std::nullopt;
 }
 
-void ControlSearch::watch(TimePoint Now, const InputProgress &Input) {
-  if (!keepsUp(Now, this->Watched, Input.LastIdle, this->Options.LongSpell))
-    this->KeptUpSince = Now;
-  this->Watched = Now;
+void ControlSearch::noteInputProgress(TimePoint Now,
+                                      const InputProgress &Input) {
+  if (!keepsUp(Now, this->LastProgressCheck, Input.LastIdle,
+               this->Options.MaxInputDelay))
+    this->SilenceCountsSince = Now;
+  this->LastProgressCheck = Now;
   this->LastIdle = Input.LastIdle;
   this->LastBehind = Input.LastBehind;
 }
 
 // ---- Whom to ask ----
 
-const PeerRef &ControlSearch::whom() const {
+const PeerRef &ControlSearch::target() const {
   return this->Replicas[this->Current].Peer;
 }
 
 std::size_t ControlSearch::leastRecentlyAsked() const {
-  auto Least = std::min_element(
-      this->Replicas.begin(), this->Replicas.end(),
-      [](const Replica &A, const Replica &B) { return A.Asked < B.Asked; });
+  auto Least = std::min_element(this->Replicas.begin(), this->Replicas.end(),
+                                [](const Replica &A, const Replica &B) {
+                                  return A.LastAsked < B.LastAsked;
+                                });
   return static_cast<std::size_t>(Least - this->Replicas.begin());
 }
 
-std::size_t ControlSearch::unanswered() const {
-  return static_cast<std::size_t>(std::count_if(
-      this->Open.begin(), this->Open.end(), [this](const auto &Item) {
-        return Item.first > this->TurnedAt &&
-               Item.second.Replica == this->Current;
-      }));
+std::size_t ControlSearch::unansweredCount() const {
+  return static_cast<std::size_t>(
+      std::count_if(this->PendingRequests.begin(), this->PendingRequests.end(),
+                    [this](const auto &Item) {
+                      return Item.first > this->SelectedAtSequence &&
+                             Item.second.Replica == this->Current;
+                    }));
 }
 
 std::optional<TimePoint> ControlSearch::oldestUnanswered() const {
-  for (const auto &[Sequence, Asked] : this->Open)
-    if (Sequence > this->TurnedAt && Asked.Replica == this->Current)
-      return Asked.Sent;
+  for (const auto &[Sequence, Pending] : this->PendingRequests)
+    if (Sequence > this->SelectedAtSequence && Pending.Replica == this->Current)
+      return Pending.Sent;
   return std::nullopt;
 }
 
-void ControlSearch::askOthersAfter(std::chrono::milliseconds Patience,
-                                   TimePoint Now) {
+void ControlSearch::searchIfLate(std::chrono::milliseconds Timeout,
+                                 TimePoint Now) {
   std::optional<TimePoint> Oldest = this->oldestUnanswered();
   // Its answer may lie here unread.
-  if (Oldest && Now - std::max(*Oldest, this->LastBehind) >= Patience)
-    this->search("late", "", Now);
+  if (Oldest && Now - std::max(*Oldest, this->LastBehind) >= Timeout)
+    this->advanceSearch("late", "", Now);
 }
 
-void ControlSearch::leaveSilent(std::chrono::milliseconds Patience,
-                                TimePoint Now) {
+void ControlSearch::searchIfSilent(std::chrono::milliseconds Timeout,
+                                   TimePoint Now) {
   // Early questions are many in a short time, and say nothing by their number.
   std::optional<TimePoint> Oldest = this->oldestUnanswered();
-  if (Oldest && this->unanswered() >= this->Options.MaxUnanswered &&
-      Now - *Oldest >= Patience)
-    this->search("silent", "", Now);
+  if (Oldest &&
+      this->unansweredCount() >= this->Options.MaxUnansweredRequests &&
+      Now - *Oldest >= Timeout)
+    this->advanceSearch("silent", "", Now);
 }
 
 std::vector<PeerRef>
-ControlSearch::takeSilent(std::chrono::milliseconds Patience, TimePoint Now) {
+ControlSearch::takeSilentReplicas(std::chrono::milliseconds Timeout,
+                                  TimePoint Now) {
   std::vector<PeerRef> Silent;
-  for (const auto &[Sequence, Asked] : this->Open) {
-    Replica &Target = this->Replicas[Asked.Replica];
+  for (const auto &[Sequence, Pending] : this->PendingRequests) {
+    Replica &Target = this->Replicas[Pending.Replica];
     // Its answer may lie here unread.
-    TimePoint Since = std::max(Asked.Sent, this->LastBehind);
-    bool Late = Asked.Sent >= Target.Connected && Now - Since >= Patience;
+    TimePoint Since = std::max(Pending.Sent, this->LastBehind);
+    bool Late = Pending.Sent >= Target.ConnectedSince && Now - Since >= Timeout;
     if (!Late)
       continue;
-    Target.Connected = Now;
+    Target.ConnectedSince = Now;
     Silent.push_back(Target.Peer);
   }
   return Silent;
 }
 
-void ControlSearch::search(const char *Reason, const std::string &Named,
-                           TimePoint Now) {
+void ControlSearch::advanceSearch(const char *Reason, const std::string &Named,
+                                  TimePoint Now) {
   if (!this->Searching) {
-    this->SearchBegan = Now;
-    this->SearchQuestions = 0;
+    this->SearchStart = Now;
+    this->SearchRequests = 0;
     this->Log.decision("control_replica_left",
-                       {{"replica", this->whom().Address},
+                       {{"replica", this->target().Address},
                         {"reason", Reason},
                         {"named_leader", Named},
                         {"replicas_known", this->Replicas.size()}});
   }
   this->Searching = true;
   this->Current = this->leastRecentlyAsked();
-  this->TurnedAt = this->Latest;
+  this->SelectedAtSequence = this->LatestSequence;
 }
 
 // ---- Questions and answers ----
 
-void ControlSearch::onAsked(std::uint64_t Sequence, TimePoint Sent) {
-  this->Latest = Sequence;
-  this->Replicas[this->Current].Asked = Sent;
-  this->Open[Sequence] = {this->Current, Sent};
-  if (this->Open.size() > MaxRemembered)
-    this->Open.erase(this->Open.begin());
+void ControlSearch::onRequestSent(std::uint64_t Sequence, TimePoint Sent) {
+  this->LatestSequence = Sequence;
+  this->Replicas[this->Current].LastAsked = Sent;
+  this->PendingRequests[Sequence] = {this->Current, Sent};
+  if (this->PendingRequests.size() > MaxPendingRequests)
+    this->PendingRequests.erase(this->PendingRequests.begin());
   // While no replica answers, each is asked in its turn.
   if (!this->Searching)
     return;
-  ++this->SearchQuestions;
+  ++this->SearchRequests;
   this->Current = this->leastRecentlyAsked();
 }
 
 std::optional<TimePoint> ControlSearch::onConfirmed(std::uint64_t Sequence,
                                                     TimePoint Now) {
-  auto Found = this->Open.find(Sequence);
-  if (Found == this->Open.end())
+  auto Found = this->PendingRequests.find(Sequence);
+  if (Found == this->PendingRequests.end())
     return std::nullopt;
-  Question Answered = Found->second;
-  this->Open.erase(this->Open.begin(), std::next(Found));
+  PendingRequest Answered = Found->second;
+  this->PendingRequests.erase(this->PendingRequests.begin(), std::next(Found));
   this->Current = Answered.Replica;
   if (this->Searching)
     this->Log.decision("control_replica_found",
-                       {{"replica", this->whom().Address},
-                        {"questions", this->SearchQuestions},
-                        {"took_ms", millisBetween(this->SearchBegan, Now)}});
+                       {{"replica", this->target().Address},
+                        {"questions", this->SearchRequests},
+                        {"took_ms", millisBetween(this->SearchStart, Now)}});
   this->Searching = false;
   for (Replica &Known : this->Replicas)
-    Known.Refused = TimePoint::min();
+    Known.LastRefused = TimePoint::min();
   return Answered.Sent;
 }
 
 bool ControlSearch::onRefused(std::uint64_t Sequence, const std::string &Leader,
                               TimePoint Now) {
-  auto Found = this->Open.find(Sequence);
-  if (Found == this->Open.end())
+  auto Found = this->PendingRequests.find(Sequence);
+  if (Found == this->PendingRequests.end())
     return false;
-  Question Answered = Found->second;
-  this->Open.erase(Found);
+  PendingRequest Answered = Found->second;
+  this->PendingRequests.erase(Found);
   Replica &From = this->Replicas[Answered.Replica];
-  if (Answered.Sent >= From.Refused) {
-    From.Refused = Answered.Sent;
-    From.Named = Leader;
+  if (Answered.Sent >= From.LastRefused) {
+    From.LastRefused = Answered.Sent;
+    From.NamedLeader = Leader;
   }
   // A late word of a replica that was left long ago.
   if (!this->Searching && Answered.Replica != this->Current)
     return false;
-  this->search("refused", Leader, Now);
+  this->advanceSearch("refused", Leader, Now);
   std::optional<std::size_t> Named = this->find(Leader);
   // A replica may name a leader of long ago. One that was asked since this
   // question was sent is not asked again for it: else two replicas that name
   // each other kept a node from all others (an old route table, 7 s too long).
   bool Follow = Named && *Named != Answered.Replica &&
-                this->Replicas[*Named].Asked < Answered.Sent;
+                this->Replicas[*Named].LastAsked < Answered.Sent;
   if (Follow)
     this->Current = *Named;
   return Follow;
 }
 
-void ControlSearch::onPushed(TimePoint Now) {
+void ControlSearch::onUnsolicitedReply(TimePoint Now) {
   // Whatever was found before, there is a leader.
-  this->KeptUpSince = Now;
+  this->SilenceCountsSince = Now;
   for (Replica &Known : this->Replicas)
-    Known.Refused = TimePoint::min();
+    Known.LastRefused = TimePoint::min();
 }
 
 // ---- What is proved ----
 
-TimePoint ControlSearch::inVain(std::size_t Which) const {
-  TimePoint Result = this->Replicas[Which].Refused;
-  for (const auto &[Sequence, Asked] : this->Open) {
-    bool Silent = Asked.Replica == Which && Asked.Sent >= this->KeptUpSince &&
-                  this->LastIdle - Asked.Sent >= this->Options.AnswerWithin;
+TimePoint ControlSearch::lastFailedRequest(std::size_t Which) const {
+  TimePoint Result = this->Replicas[Which].LastRefused;
+  for (const auto &[Sequence, Pending] : this->PendingRequests) {
+    bool Silent = Pending.Replica == Which &&
+                  Pending.Sent >= this->SilenceCountsSince &&
+                  this->LastIdle - Pending.Sent >= this->Options.ReplyTimeout;
     if (Silent)
-      Result = std::max(Result, Asked.Sent);
+      Result = std::max(Result, Pending.Sent);
   }
   return Result;
 }
 
-std::string ControlSearch::describeAnswers(TimePoint Now) const {
+std::string ControlSearch::describeReplies(TimePoint Now) const {
   std::string Text;
   for (const Replica &Known : this->Replicas) {
-    bool Refused = Known.Refused != TimePoint::min() &&
-                   Known.Refused >= Known.Asked - this->Options.AnswerWithin;
+    bool Refused =
+        Known.LastRefused != TimePoint::min() &&
+        Known.LastRefused >= Known.LastAsked - this->Options.ReplyTimeout;
     Text += fmt::format("{}{} {}", Text.empty() ? "" : ", ", Known.Peer.Address,
                         Refused ? "refused" : "silent");
-    if (Refused && !Known.Named.empty())
-      Text += fmt::format(" for {}", Known.Named);
-    if (Known.Asked != TimePoint::min())
-      Text += fmt::format(" {} ms", millisBetween(Known.Asked, Now));
+    if (Refused && !Known.NamedLeader.empty())
+      Text += fmt::format(" for {}", Known.NamedLeader);
+    if (Known.LastAsked != TimePoint::min())
+      Text += fmt::format(" {} ms", millisBetween(Known.LastAsked, Now));
   }
   return Text;
 }
 
-bool ControlSearch::hasWitness() const {
-  return std::ranges::any_of(this->Replicas, [this](const Replica &Witness) {
+bool ControlSearch::hasReportedLeader() const {
+  return std::ranges::any_of(this->Replicas, [this](const Replica &Reporter) {
     bool IsFresh =
-        Witness.Refused != TimePoint::min() &&
-        Witness.Asked - Witness.Refused <= this->Options.AnswerWithin;
+        Reporter.LastRefused != TimePoint::min() &&
+        Reporter.LastAsked - Reporter.LastRefused <= this->Options.ReplyTimeout;
     if (!IsFresh)
       return false;
-    std::optional<std::size_t> Leader = this->find(Witness.Named);
+    std::optional<std::size_t> Leader = this->find(Reporter.NamedLeader);
     if (!Leader)
-      return !Witness.Named.empty();
+      return !Reporter.NamedLeader.empty();
     // A replica may name a leader of a moment ago.
-    return this->Replicas[*Leader].Refused <
-           Witness.Refused - this->Options.AnswerWithin;
+    return this->Replicas[*Leader].LastRefused <
+           Reporter.LastRefused - this->Options.ReplyTimeout;
   });
 }
 
-TimePoint ControlSearch::searchedSince() const {
-  if (this->hasWitness())
+TimePoint ControlSearch::noLeaderSince() const {
+  if (this->hasReportedLeader())
     return TimePoint::min();
   TimePoint Since = TimePoint::max();
   for (std::size_t I = 0; I < this->Replicas.size(); ++I)
-    Since = std::min(Since, this->inVain(I));
+    Since = std::min(Since, this->lastFailedRequest(I));
   return Since == TimePoint::max() ? TimePoint::min() : Since;
 }
 
--- a/membership/control_search.h
+++ b/membership/control_search.h
@@ -32,13 +32,13 @@
   /// A replica that leaves a question unanswered for so long cannot be reached
   /// or does not lead. Many round trips and rounds of a quorum (some 20 ms), so
   /// that a busy leader is not missed.
-  std::chrono::milliseconds AnswerWithin{600};
+  std::chrono::milliseconds ReplyTimeout{600};
   /// After so long without reading all of its input, answers may lie unread in
-  /// this process, and silence proves nothing. Below AnswerWithin, so that
+  /// this process, and silence proves nothing. Below ReplyTimeout, so that
   /// shorter spells leave time to read an answer; a busy entry has many.
-  std::chrono::milliseconds LongSpell{500};
+  std::chrono::milliseconds MaxInputDelay{500};
   /// Questions to one replica that may be open before it is left.
-  std::size_t MaxUnanswered = 2;
+  std::size_t MaxUnansweredRequests = 2;
 };
 
 class ControlSearch {
@@ -46,29 +46,29 @@
   ControlSearch(std::vector<PeerRef> Known, SearchOptions Options = {});
 
   /// Adds replicas to those that are asked.
-  void add(const std::vector<PeerRef> &More);
+  void add(const std::vector<PeerRef> &Added);
   /// To be called often, and before whom() at the same time.
-  void watch(TimePoint Now, const InputProgress &Input);
+  void noteInputProgress(TimePoint Now, const InputProgress &Input);
 
   /// The replica to be asked next.
-  const PeerRef &whom() const;
+  const PeerRef &target() const;
   /// Whether no replica is known that answers.
   bool isSearching() const { return this->Searching; }
   /// Asks the other replicas too if the present one has left a question
   /// unanswered for \p Patience. It is asked on in its turn.
-  void askOthersAfter(std::chrono::milliseconds Patience, TimePoint Now);
+  void searchIfLate(std::chrono::milliseconds Timeout, TimePoint Now);
   /// Leaves the present replica if it has left several questions unanswered
   /// for \p Patience.
-  void leaveSilent(std::chrono::milliseconds Patience, TimePoint Now);
+  void searchIfSilent(std::chrono::milliseconds Timeout, TimePoint Now);
   /// Replicas that have left questions unanswered for \p Patience since they
   /// were last returned: their connections may have gone silent.
-  std::vector<PeerRef> takeSilent(std::chrono::milliseconds Patience,
-                                  TimePoint Now);
+  std::vector<PeerRef> takeSilentReplicas(std::chrono::milliseconds Timeout,
+                                          TimePoint Now);
 
-  void onAsked(std::uint64_t Sequence, TimePoint Sent);
+  void onRequestSent(std::uint64_t Sequence, TimePoint Sent);
   /// Whether a question is still open.
-  bool isOpen(std::uint64_t Sequence) const {
-    return this->Open.contains(Sequence);
+  bool isPending(std::uint64_t Sequence) const {
+    return this->PendingRequests.contains(Sequence);
   }
   /// A replica has answered as leader. \returns when the question was sent.
   std::optional<TimePoint> onConfirmed(std::uint64_t Sequence, TimePoint Now);
@@ -77,27 +77,27 @@
   bool onRefused(std::uint64_t Sequence, const std::string &Leader,
                  TimePoint Now);
   /// A leader was heard, but not in answer to a question.
-  void onPushed(TimePoint Now);
+  void onUnsolicitedReply(TimePoint Now);
 
   /// How each replica answered its latest question, for logs.
-  std::string describeAnswers(TimePoint Now) const;
+  std::string describeReplies(TimePoint Now) const;
   /// Each replica known has been asked since this time, and has refused or left
   /// the question unanswered; the least time if that cannot be said, or one of
   /// them hears a leader.
-  TimePoint searchedSince() const;
+  TimePoint noLeaderSince() const;
 
 private:
   struct Replica {
     PeerRef Peer;
-    TimePoint Asked = TimePoint::min();
+    TimePoint LastAsked = TimePoint::min();
     /// When the latest question that it refused was sent.
-    TimePoint Refused = TimePoint::min();
+    TimePoint LastRefused = TimePoint::min();
     /// The address of the leader that it named then; empty if none.
-    std::string Named;
+    std::string NamedLeader;
     /// Since when silence speaks against its connection.
-    TimePoint Connected = TimePoint::min();
+    TimePoint ConnectedSince = TimePoint::min();
   };
-  struct Question {
+  struct PendingRequest {
     std::size_t Replica = 0;
     TimePoint Sent;
   };
@@ -105,13 +105,14 @@
   std::optional<std::size_t> find(const std::string &Address) const;
   /// Whether a replica that refused named a leader that has not refused itself
   /// about then: that one is there, though its answers do not arrive.
-  bool hasWitness() const;
+  bool hasReportedLeader() const;
   std::size_t leastRecentlyAsked() const;
   /// Questions to the present replica without an answer since it was turned to.
-  std::size_t unanswered() const;
+  std::size_t unansweredCount() const;
   std::optional<TimePoint> oldestUnanswered() const;
-  void search(const char *Reason, const std::string &Named, TimePoint Now);
-  TimePoint inVain(std::size_t Which) const;
+  void advanceSearch(const char *Reason, const std::string &Named,
+                     TimePoint Now);
+  TimePoint lastFailedRequest(std::size_t Which) const;
 
   Logger Log{"control_search"};
   SearchOptions Options;
@@ -119,17 +120,17 @@
   std::size_t Current = 0;
   bool Searching = false;
   /// When the search began, and how many questions it has taken.
-  TimePoint SearchBegan = TimePoint::min();
-  std::uint32_t SearchQuestions = 0;
-  std::map<std::uint64_t, Question> Open;
-  std::uint64_t Latest = 0;
+  TimePoint SearchStart = TimePoint::min();
+  std::uint32_t SearchRequests = 0;
+  std::map<std::uint64_t, PendingRequest> PendingRequests;
+  std::uint64_t LatestSequence = 0;
   /// Later questions count as unanswered by the present replica.
-  std::uint64_t TurnedAt = 0;
-  TimePoint Watched = TimePoint::min();
+  std::uint64_t SelectedAtSequence = 0;
+  TimePoint LastProgressCheck = TimePoint::min();
   TimePoint LastIdle = TimePoint::min();
   TimePoint LastBehind = TimePoint::min();
   /// Since when the lack of an answer proves something.
-  TimePoint KeptUpSince = TimePoint::min();
+  TimePoint SilenceCountsSince = TimePoint::min();
 };
 
 } // namespace yardwheel
--- a/membership/member_registry.cpp
+++ b/membership/member_registry.cpp
@@ -11,47 +11,49 @@
   this->Entries.clear();
 }
 
-void MemberRegistry::touch(Entry &Target) {
+void MemberRegistry::bumpVersion(Entry &Target) {
   Target.Member.set_version(++this->Version);
 }
 
 bool MemberRegistry::onHeartbeat(const peer::Heartbeat &Beat, TimePoint Now) {
-  const peer::Member &Told = Beat.member();
-  auto [Found, New] = this->Entries.try_emplace(Told.name());
+  const peer::Member &Reported = Beat.member();
+  auto [Found, New] = this->Entries.try_emplace(Reported.name());
   Entry &Target = Found->second;
   std::uint64_t Known = Target.Member.incarnation();
   // Late words of an older life change nothing.
-  if (!New && Told.incarnation() < Known)
+  if (!New && Reported.incarnation() < Known)
     return false;
-  bool SameLife = !New && Told.incarnation() == Known;
+  bool SameIncarnation = !New && Reported.incarnation() == Known;
   // Leaving is final for a life.
-  bool Returns = SameLife && Target.Member.state() == peer::MEMBER_LEAVING &&
-                 Told.state() != peer::MEMBER_LEAVING;
+  bool Rejoins = SameIncarnation &&
+                 Target.Member.state() == peer::MEMBER_LEAVING &&
+                 Reported.state() != peer::MEMBER_LEAVING;
   Target.LastHeard = Now;
-  Target.Revision =
-      SameLife ? std::max(Target.Revision, Beat.revision()) : Beat.revision();
+  Target.Revision = SameIncarnation ? std::max(Target.Revision, Beat.revision())
+                                    : Beat.revision();
   Target.TableTerm = Beat.table_term();
   Target.TableVersion = Beat.table_version();
-  bool Changed = !SameLife || Target.Member.state() != Told.state() ||
-                 !isSameNeeds(Target.Member.room(), Told.room());
-  if (Returns || !Changed)
+  bool Changed = !SameIncarnation ||
+                 Target.Member.state() != Reported.state() ||
+                 !isSameNeeds(Target.Member.room(), Reported.room());
+  if (Rejoins || !Changed)
     return false;
-  Target.Member = Told;
-  this->touch(Target);
+  Target.Member = Reported;
+  this->bumpVersion(Target);
   return true;
 }
 
 bool MemberRegistry::tick(TimePoint Now) {
-  bool Any = false;
+  bool AnyLost = false;
   for (auto &[Name, Target] : this->Entries) {
     bool Silent = Now - Target.LastHeard > this->Lease;
     if (!Silent || Target.Member.state() == peer::MEMBER_LOST)
       continue;
     Target.Member.set_state(peer::MEMBER_LOST);
-    this->touch(Target);
-    Any = true;
+    this->bumpVersion(Target);
+    AnyLost = true;
   }
-  return Any;
+  return AnyLost;
 }
 
 peer::MemberUpdate
--- a/membership/member_registry.h
+++ b/membership/member_registry.h
@@ -52,7 +52,7 @@
   std::uint64_t version() const { return this->Version; }
 
 private:
-  void touch(Entry &Target);
+  void bumpVersion(Entry &Target);
 
   std::chrono::milliseconds Lease;
   TimePoint SettledAt = TimePoint::min();
--- a/tests/consensus/raft_cluster.cpp
+++ b/tests/consensus/raft_cluster.cpp
@@ -22,11 +22,11 @@
 
 void RaftCluster::start(const std::string &Name) {
   auto New = std::make_unique<Node>(*this, Name);
-  RaftOptions Own = this->Options;
-  Own.Name = Name;
-  Own.Seed = this->Options.Seed * 1000 + ++this->Lives;
-  New->Raft = std::make_unique<RaftNode>(Own, *this->Disks.at(Name), *New,
-                                         this->World.now().Steady);
+  RaftOptions NodeOptions = this->Options;
+  NodeOptions.Name = Name;
+  NodeOptions.Seed = this->Options.Seed * 1000 + ++this->Starts;
+  New->Raft = std::make_unique<RaftNode>(NodeOptions, *this->Disks.at(Name),
+                                         *New, this->World.now().Steady);
   this->Nodes[Name] = std::move(New);
   this->World.start(
       Name, [this, Name](const PeerRef &, const peer::Message &Message) {
--- a/tests/consensus/raft_cluster.h
+++ b/tests/consensus/raft_cluster.h
@@ -74,7 +74,7 @@
   void start(const std::string &Name);
 
   RaftOptions Options;
-  std::uint64_t Lives = 0;
+  std::uint64_t Starts = 0;
   std::map<std::string, std::unique_ptr<Node>> Nodes;
   std::map<std::string, std::unique_ptr<MemoryLogStorage>> Disks;
   std::map<std::uint64_t, std::string> Committed;
--- a/tests/control/entry_table_test.cpp
+++ b/tests/control/entry_table_test.cpp
@@ -50,7 +50,7 @@
   }
 
   void onConfirmed(TimePoint Asked) override { this->Lease.confirm(Asked); }
-  void onSearched(TimePoint Since) override { this->Lease.search(Since); }
+  void onNoLeaderSince(TimePoint Since) override { this->Lease.search(Since); }
   void onNewerRevision(std::uint64_t Revision) override {
     this->Lease.hear(Revision);
   }
@@ -73,8 +73,8 @@
     for (std::size_t I = 0; I < SeededCluster::Seeds; ++I)
       Options.Controls.push_back({"", SeededCluster::addressOf(I)});
     Options.Interval = 500ms;
-    Options.AskOthersAfter = 250ms;
-    Options.SearchEvery = 60ms;
+    Options.SearchDelay = 250ms;
+    Options.SearchInterval = 60ms;
     return Options;
   }
   static peer::Member self() {
--- a/tests/membership/announcer_test.cpp
+++ b/tests/membership/announcer_test.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-class CountingSink final : public PeerSink {
+class RecordingSink final : public PeerSink {
 public:
   void send(const PeerRef &To, peer::Message) override {
     ++this->Sent;
@@ -19,17 +19,17 @@
   std::string LastTo;
 };
 
-class CountingEvents final : public AnnouncerEvents {
+class RecordingEvents final : public AnnouncerEvents {
 public:
   void onConfirmed(TimePoint Asked) override { this->Confirmed = Asked; }
   void onCatalog(Instant) override { ++this->Catalogs; }
   void onMember(const peer::Member &Member, Instant) override {
     this->Last = Member;
   }
-  void onOutranked(std::uint64_t Known, Instant) override {
-    this->Outranked = Known;
+  void onNewerIncarnation(std::uint64_t Known, Instant) override {
+    this->NewerIncarnation = Known;
   }
-  std::uint64_t Outranked = 0;
+  std::uint64_t NewerIncarnation = 0;
   TimePoint Confirmed = TimePoint::min();
   int Catalogs = 0;
   peer::Member Last;
@@ -38,8 +38,8 @@
 } // namespace
 
 TEST_GROUP(AnnouncerTest) {
-  CountingSink Sink;
-  CountingEvents Events;
+  RecordingSink Sink;
+  RecordingEvents Events;
   NodeCatalog Catalog;
   AnnouncerOptions Options{{{"c1", "c1"}, {"c2", "c2"}}, 1000ms};
   peer::Member Self;
@@ -55,7 +55,7 @@
     Reply.mutable_catalog()->set_revision(Revision);
     return Reply;
   }
-  void pass(std::chrono::milliseconds Time) { Now.Steady += Time; }
+  void advance(std::chrono::milliseconds Time) { Now.Steady += Time; }
 };
 
 // The replica may be well and only its connection silent.
@@ -64,7 +64,7 @@
   for (int I = 0; I < 12 && Sink.LastTo != "c2"; ++I) {
     STRCMP_EQUAL("", Sink.Reconnected.c_str());
     Announce.tick(Now);
-    pass(250ms);
+    advance(250ms);
   }
   STRCMP_EQUAL("c2", Sink.LastTo.c_str());
   STRCMP_EQUAL("c1", Sink.Reconnected.c_str());
@@ -74,7 +74,7 @@
   Announcer Announce(Options, Self, Catalog, Sink, Events);
   Announce.tick(Now);
   TimePoint Asked = Now.Steady;
-  pass(700ms);
+  advance(700ms);
   Announce.onReply(reply(1, 5), Now);
   CHECK_TRUE(Events.Confirmed == Asked);
 }
@@ -87,13 +87,13 @@
   };
   const Row Rows[] = {{0, 0}, {6, 0}, {7, 0}, {8, 8}};
   for (const Row &Row : Rows) {
-    Events.Outranked = 0;
+    Events.NewerIncarnation = 0;
     Announcer Announce(Options, Self, Catalog, Sink, Events);
     Announce.tick(Now);
     peer::HeartbeatReply Reply = reply(1, 5);
     Reply.set_known_incarnation(Row.Known);
     Announce.onReply(Reply, Now);
-    LONGS_EQUAL(Row.Expected, Events.Outranked);
+    LONGS_EQUAL(Row.Expected, Events.NewerIncarnation);
   }
 }
 
@@ -123,7 +123,7 @@
   Announcer Announce(Options, Self, Catalog, Sink, Events);
   Announce.tick(Now);
   Announce.onReply(reply(1, 5), Now);
-  pass(300ms);
+  advance(300ms);
   Announce.noteRevision(5, Now);
   LONGS_EQUAL(1, Sink.Sent);
   Announce.noteRevision(6, Now);
@@ -150,11 +150,11 @@
     Announce.tick(Now);
     Announce.onReply(reply(1, 5), Now);
     // The beat that was due before the first answer.
-    pass(1000ms);
+    advance(1000ms);
     Announce.tick(Now);
     Announce.onReply(reply(2, 5), Now);
     int Before = Sink.Sent;
-    pass(Row.SinceQuestion);
+    advance(Row.SinceQuestion);
     Announce.tick(Now, {Now.Steady, Now.Steady - Row.BehindAgo});
     LONGS_EQUAL_TEXT(Row.Questions, Sink.Sent - Before, Row.Name);
   }
@@ -166,15 +166,15 @@
   Announcer Announce(Options, Self, Catalog, Sink, Events);
   Announce.tick(Now);
   Announce.onReply(reply(1, 5), Now);
-  pass(1000ms);
+  advance(1000ms);
   for (int I = 0; I < 7; ++I) {
     Announce.tick(Now, {Now.Steady, Now.Steady});
-    pass(260ms);
+    advance(260ms);
   }
   STRCMP_EQUAL("c1", Sink.LastTo.c_str());
   STRCMP_EQUAL("", Sink.Reconnected.c_str());
   CHECK(Sink.Sent >= 7);
-  pass(1000ms);
+  advance(1000ms);
   Announce.tick(Now, {Now.Steady, Now.Steady});
   STRCMP_EQUAL("c2", Sink.LastTo.c_str());
 }
@@ -185,11 +185,11 @@
   Announcer Announce(Options, Self, Catalog, Sink, Events);
   Announce.tick(Now);
   Announce.onReply(reply(1, 5), Now);
-  pass(1000ms);
+  advance(1000ms);
   TimePoint Asked = Now.Steady;
   for (int I = 0; I < 3; ++I) {
     Announce.tick(Now);
-    pass(1000ms);
+    advance(1000ms);
   }
   STRCMP_EQUAL("c2", Sink.LastTo.c_str());
   Announce.onReply(reply(2, 6), Now);
@@ -202,7 +202,7 @@
   for (const char *Expected : {"c1", "c1", "c2"}) {
     Announce.tick(Now);
     STRCMP_EQUAL(Expected, Sink.LastTo.c_str());
-    pass(1000ms);
+    advance(1000ms);
   }
 }
 
@@ -210,17 +210,17 @@
 TEST(AnnouncerTest, UntilItsLifeHasBegunANodeAsksMoreOften) {
   Announcer Announce(Options, Self, Catalog, Sink, Events);
   Announce.tick(Now);
-  pass(250ms);
+  advance(250ms);
   Announce.tick(Now);
   LONGS_EQUAL(2, Sink.Sent);
   Announce.onReply(reply(2, 5), Now);
   // The beat that was due already still goes out; then the interval is whole.
   for (int I = 0; I < 4; ++I) {
-    pass(250ms);
+    advance(250ms);
     Announce.tick(Now);
   }
   LONGS_EQUAL(3, Sink.Sent);
-  pass(250ms);
+  advance(250ms);
   Announce.tick(Now);
   LONGS_EQUAL(4, Sink.Sent);
 }
@@ -233,7 +233,7 @@
   Reply.mutable_members()->set_full(true);
   Reply.mutable_members()->add_members()->set_name("a1");
   Announce.onReply(Reply, Now);
-  pass(1000ms);
+  advance(1000ms);
   Announce.tick(Now);
   Reply = reply(2, 6);
   Reply.mutable_members()->set_term(2);
@@ -252,7 +252,7 @@
   Whole.mutable_members()->set_full(true);
   Whole.mutable_members()->add_members()->set_name("kept");
   Announce.onReply(Whole, Now);
-  pass(1000ms);
+  advance(1000ms);
   Announce.tick(Now);
   peer::HeartbeatReply Partial = reply(2, 5);
   Partial.mutable_members()->set_partial(true);
--- a/tests/membership/control_search_test.cpp
+++ b/tests/membership/control_search_test.cpp
@@ -11,15 +11,15 @@
 
 constexpr TimePoint Start{1h};
 constexpr auto Tick = 20ms;
-constexpr auto AskEvery = 60ms;
+constexpr auto SearchInterval = 60ms;
 
 /// What a replica does with a question.
-enum class Part { Silent, Refuses, Leads };
+enum class ReplicaAction { Silent, Refuses, Leads };
 
 struct ScriptedReplica {
-  Part Plays = Part::Silent;
+  ReplicaAction Action = ReplicaAction::Silent;
   /// Whom it names when it refuses; -1 for nobody.
-  int Names = -1;
+  int NamedReplica = -1;
 };
 
 std::string addressOf(std::size_t Number) { return fmt::format("c{}", Number); }
@@ -28,49 +28,50 @@
 
 TEST_GROUP(ControlSearchTest) {
   std::vector<ScriptedReplica> Replicas;
-  std::vector<std::string> Asked;
+  std::vector<std::string> RequestTargets;
   TimePoint Now = Start;
   TimePoint LastAsked{};
   std::uint64_t Sequence = 0;
 
-  ControlSearch make(std::vector<ScriptedReplica> Script) {
+  ControlSearch makeSearch(std::vector<ScriptedReplica> Script) {
     Replicas = std::move(Script);
-    Asked.clear();
+    RequestTargets.clear();
     LastAsked = TimePoint{};
     std::vector<PeerRef> Known;
     for (std::size_t I = 0; I < Replicas.size(); ++I)
       Known.push_back({"", addressOf(I)});
     ControlSearch Search(std::move(Known));
-    Search.watch(Now, {Now});
+    Search.noteInputProgress(Now, {Now});
     return Search;
   }
   /// Asks once; the replica answers within the same moment. \returns whether
   /// one that is named should be asked at once.
-  bool ask(ControlSearch & Search) {
-    std::string To = Search.whom().Address;
-    Asked.push_back(To);
-    Search.onAsked(++Sequence, Now);
+  bool sendRequest(ControlSearch & Search) {
+    std::string To = Search.target().Address;
+    RequestTargets.push_back(To);
+    Search.onRequestSent(++Sequence, Now);
     const ScriptedReplica &Target = Replicas[std::stoul(To.substr(1))];
-    if (Target.Plays == Part::Leads)
+    if (Target.Action == ReplicaAction::Leads)
       Search.onConfirmed(Sequence, Now);
-    if (Target.Plays != Part::Refuses)
+    if (Target.Action != ReplicaAction::Refuses)
       return false;
-    std::string Named = Target.Names < 0
-                            ? ""
-                            : addressOf(static_cast<std::size_t>(Target.Names));
+    std::string Named =
+        Target.NamedReplica < 0
+            ? ""
+            : addressOf(static_cast<std::size_t>(Target.NamedReplica));
     return Search.onRefused(Sequence, Named, Now);
   }
   /// Goes on for \p Time as a node does that reads all of its input.
-  void play(ControlSearch & Search, std::chrono::milliseconds Time) {
+  void runFor(ControlSearch & Search, std::chrono::milliseconds Time) {
     TimePoint End = Now + Time;
     for (; Now < End; Now += Tick) {
-      Search.watch(Now, {Now});
-      Search.askOthersAfter(250ms, Now);
-      auto Pause = Search.isSearching() ? AskEvery : 500ms;
+      Search.noteInputProgress(Now, {Now});
+      Search.searchIfLate(250ms, Now);
+      auto Pause = Search.isSearching() ? SearchInterval : 500ms;
       if (Now - LastAsked < Pause)
         continue;
       LastAsked = Now;
-      while (ask(Search)) {
+      while (sendRequest(Search)) {
       }
     }
   }
@@ -79,12 +80,12 @@
 // Wherever the leader stands among replicas that are silent, refuse or send a
 // node back to each other, it is found within a round.
 TEST(ControlSearchTest, TheLeaderIsFoundWhateverTheOthersDo) {
-  const ScriptedReplica Silent{Part::Silent};
-  const ScriptedReplica Refuses{Part::Refuses};
-  const ScriptedReplica NamesFirst{Part::Refuses, 0};
-  const ScriptedReplica NamesSecond{Part::Refuses, 1};
-  const ScriptedReplica NamesSelf{Part::Refuses, 2};
-  const ScriptedReplica Leads{Part::Leads};
+  const ScriptedReplica Silent{ReplicaAction::Silent};
+  const ScriptedReplica Refuses{ReplicaAction::Refuses};
+  const ScriptedReplica NamesFirst{ReplicaAction::Refuses, 0};
+  const ScriptedReplica NamesSecond{ReplicaAction::Refuses, 1};
+  const ScriptedReplica NamesSelf{ReplicaAction::Refuses, 2};
+  const ScriptedReplica Leads{ReplicaAction::Leads};
   struct Row {
     const char *Name;
     std::vector<ScriptedReplica> Script;
@@ -108,23 +109,23 @@
        {Silent, Silent, Silent, Silent, Silent, Silent, Silent, Silent, Leads},
        900ms},
       {"the leader is named",
-       {Refuses, {Part::Refuses, 4}, Silent, Silent, Leads},
+       {Refuses, {ReplicaAction::Refuses, 4}, Silent, Silent, Leads},
        300ms},
   };
   for (const Row &Row : Rows) {
-    ControlSearch Search = make(Row.Script);
-    play(Search, Row.Within);
+    ControlSearch Search = makeSearch(Row.Script);
+    runFor(Search, Row.Within);
     CHECK_FALSE_TEXT(Search.isSearching(), Row.Name);
     STRCMP_EQUAL_TEXT(addressOf(Row.Script.size() - 1).c_str(),
-                      Search.whom().Address.c_str(), Row.Name);
+                      Search.target().Address.c_str(), Row.Name);
   }
 }
 
 // Only where each replica was asked, and refused or had time to answer, is it
 // known that none leads.
 TEST(ControlSearchTest, ThatNobodyLeadsIsKnownOnceAllWereAsked) {
-  const ScriptedReplica Silent{Part::Silent};
-  const ScriptedReplica Refuses{Part::Refuses};
+  const ScriptedReplica Silent{ReplicaAction::Silent};
+  const ScriptedReplica Refuses{ReplicaAction::Refuses};
   struct Row {
     const char *Name;
     std::vector<ScriptedReplica> Script;
@@ -148,104 +149,114 @@
        500ms,
        false},
       {"one refuses, others silent", {Refuses, Silent, Silent}, 900ms, true},
-      {"one names a silent one", {Silent, {Part::Refuses, 0}}, 3000ms, false},
+      {"one names a silent one",
+       {Silent, {ReplicaAction::Refuses, 0}},
+       3000ms,
+       false},
       {"one names one that is not known",
-       {Silent, {Part::Refuses, 7}},
+       {Silent, {ReplicaAction::Refuses, 7}},
        3000ms,
        false},
       {"one names one that refuses",
-       {Refuses, {Part::Refuses, 0}},
+       {Refuses, {ReplicaAction::Refuses, 0}},
        200ms,
        true},
       {"two name each other",
-       {{Part::Refuses, 1}, {Part::Refuses, 0}},
+       {{ReplicaAction::Refuses, 1}, {ReplicaAction::Refuses, 0}},
        200ms,
        true},
   };
   for (const Row &Row : Rows) {
-    ControlSearch Search = make(Row.Script);
-    play(Search, Row.Time);
-    CHECK_EQUAL_TEXT(Row.Known, Search.searchedSince() != TimePoint::min(),
+    ControlSearch Search = makeSearch(Row.Script);
+    runFor(Search, Row.Time);
+    CHECK_EQUAL_TEXT(Row.Known, Search.noLeaderSince() != TimePoint::min(),
                      Row.Name);
-    bool Fresh = Now - Search.searchedSince() < 1300ms;
+    bool Fresh = Now - Search.noLeaderSince() < 1300ms;
     CHECK_EQUAL_TEXT(Row.Known, Row.Known && Fresh, Row.Name);
   }
 }
 
 // What it said of a leader before is no longer known to be so.
 TEST(ControlSearchTest, AReplicaThatFallsSilentSpeaksForNoLeader) {
-  ControlSearch Search = make({{Part::Silent}, {Part::Refuses, 0}});
-  play(Search, 1500ms);
-  CHECK(Search.searchedSince() == TimePoint::min());
-  Replicas[1].Plays = Part::Silent;
-  play(Search, 2000ms);
-  CHECK(Search.searchedSince() != TimePoint::min());
+  ControlSearch Search =
+      makeSearch({{ReplicaAction::Silent}, {ReplicaAction::Refuses, 0}});
+  runFor(Search, 1500ms);
+  CHECK(Search.noLeaderSince() == TimePoint::min());
+  Replicas[1].Action = ReplicaAction::Silent;
+  runFor(Search, 2000ms);
+  CHECK(Search.noLeaderSince() != TimePoint::min());
 }
 
 TEST(ControlSearchTest, WhatWasFoundGoesWithTheNextSignOfALeader) {
-  ControlSearch Search = make({{Part::Refuses}, {Part::Refuses}});
-  play(Search, 300ms);
-  CHECK(Search.searchedSince() != TimePoint::min());
-  Search.onPushed(Now);
-  CHECK(Search.searchedSince() == TimePoint::min());
+  ControlSearch Search =
+      makeSearch({{ReplicaAction::Refuses}, {ReplicaAction::Refuses}});
+  runFor(Search, 300ms);
+  CHECK(Search.noLeaderSince() != TimePoint::min());
+  Search.onUnsolicitedReply(Now);
+  CHECK(Search.noLeaderSince() == TimePoint::min());
   CHECK(Search.isSearching());
 }
 
 // The answers to what was asked before may lie unread.
 TEST(ControlSearchTest, AfterALongSpellSilenceCountsFromTheNextQuestion) {
   for (bool Frozen : {true, false}) {
-    ControlSearch Search = make({{Part::Silent}, {Part::Silent}});
-    play(Search, 1500ms);
-    CHECK(Search.searchedSince() != TimePoint::min());
+    ControlSearch Search =
+        makeSearch({{ReplicaAction::Silent}, {ReplicaAction::Silent}});
+    runFor(Search, 1500ms);
+    CHECK(Search.noLeaderSince() != TimePoint::min());
     TimePoint LastIdle = Now;
     // Busy, it is watched on, but never has read all.
     for (int I = 0; I < 50 && !Frozen; ++I) {
       Now += Tick;
-      Search.watch(Now, {LastIdle, Now});
+      Search.noteInputProgress(Now, {LastIdle, Now});
     }
     if (Frozen)
       Now += 1s;
-    Search.watch(Now, {Now});
-    CHECK(Search.searchedSince() == TimePoint::min());
-    play(Search, 600ms);
-    CHECK(Search.searchedSince() == TimePoint::min());
-    play(Search, 300ms);
-    CHECK(Search.searchedSince() != TimePoint::min());
+    Search.noteInputProgress(Now, {Now});
+    CHECK(Search.noLeaderSince() == TimePoint::min());
+    runFor(Search, 600ms);
+    CHECK(Search.noLeaderSince() == TimePoint::min());
+    runFor(Search, 300ms);
+    CHECK(Search.noLeaderSince() != TimePoint::min());
   }
 }
 
 // An entry under load is late for a moment again and again. Were it not to
 // notice that control is gone, it would refuse all its callers meanwhile.
 TEST(ControlSearchTest, ShortSpellsOfLatenessDoNotHideThatNobodyLeads) {
-  ControlSearch Search = make({{Part::Silent}, {Part::Silent}});
+  ControlSearch Search =
+      makeSearch({{ReplicaAction::Silent}, {ReplicaAction::Silent}});
   for (int I = 0; I < 12; ++I) {
     Now += 240ms;
-    Search.watch(Now, {Now - 240ms, Now});
-    Search.watch(Now, {Now, Now});
-    Search.leaveSilent(1000ms, Now);
-    ask(Search);
+    Search.noteInputProgress(Now, {Now - 240ms, Now});
+    Search.noteInputProgress(Now, {Now, Now});
+    Search.searchIfSilent(1000ms, Now);
+    sendRequest(Search);
   }
-  CHECK(Search.searchedSince() != TimePoint::min());
+  CHECK(Search.noLeaderSince() != TimePoint::min());
 }
 
 TEST(ControlSearchTest, ALateAnswerOfALeaderEndsTheSearch) {
-  ControlSearch Search = make({{Part::Silent}, {Part::Silent}, {Part::Silent}});
+  ControlSearch Search = makeSearch({{ReplicaAction::Silent},
+                                     {ReplicaAction::Silent},
+                                     {ReplicaAction::Silent}});
   TimePoint First = Now;
   std::uint64_t FirstQuestion = Sequence + 1;
-  play(Search, 800ms);
+  runFor(Search, 800ms);
   CHECK(Search.isSearching());
   std::optional<TimePoint> Sent = Search.onConfirmed(FirstQuestion, Now);
   CHECK(Sent && *Sent == First);
   CHECK_FALSE(Search.isSearching());
-  STRCMP_EQUAL("c0", Search.whom().Address.c_str());
+  STRCMP_EQUAL("c0", Search.target().Address.c_str());
 }
 
 TEST(ControlSearchTest, ASilentReplicaIsNamedOnceForEachSpanOfSilence) {
-  ControlSearch Search = make({{Part::Silent}, {Part::Refuses}});
+  ControlSearch Search =
+      makeSearch({{ReplicaAction::Silent}, {ReplicaAction::Refuses}});
   std::size_t Named = 0;
   for (int I = 0; I < 30; ++I) {
-    play(Search, 100ms);
-    for (const PeerRef &Silent : Search.takeSilent(1000ms, Now)) {
+    runFor(Search, 100ms);
+    for (const PeerRef &Silent : Search.takeSilentReplicas(1000ms, Now)) {
       STRCMP_EQUAL("c0", Silent.Address.c_str());
       ++Named;
     }
--- a/tests/membership/leaving_test.cpp
+++ b/tests/membership/leaving_test.cpp
@@ -12,39 +12,41 @@
 namespace {
 
 /// The bound that operators are told, in virtual time.
-constexpr Duration Bound = 4s;
+constexpr Duration MaxDispatchDelay = 4s;
 
-void drain(VirtualCluster &Cluster) {
+void drainAgent(VirtualCluster &Cluster) {
   Cluster.agent("a3").drain(Cluster.World.now());
 }
-void killIt(VirtualCluster &Cluster) { Cluster.kill("a3"); }
-void freezeIt(VirtualCluster &Cluster) { Cluster.World.freeze("a3"); }
-void cutFromAll(VirtualCluster &Cluster) { Cluster.World.isolate("a3"); }
-void cutFromControl(VirtualCluster &Cluster) {
+void killAgent(VirtualCluster &Cluster) { Cluster.kill("a3"); }
+void freezeAgent(VirtualCluster &Cluster) { Cluster.World.freeze("a3"); }
+void isolateAgent(VirtualCluster &Cluster) { Cluster.World.isolate("a3"); }
+void disconnectFromControl(VirtualCluster &Cluster) {
   for (const char *Replica : {"c1", "c2", "c3"})
     Cluster.World.cut("a3", Replica);
 }
-void cutFromOneEntry(VirtualCluster &Cluster) { Cluster.World.cut("a3", "e1"); }
+void disconnectFromOneEntry(VirtualCluster &Cluster) {
+  Cluster.World.cut("a3", "e1");
+}
 
-struct Way {
+struct Departure {
   const char *Name;
   void (*Leave)(VirtualCluster &Cluster);
   /// Whether every entry must stop sending to it, or only e1.
   bool AllEntries;
 };
 
-const Way Ways[] = {
-    {"asked to", drain, true},
-    {"killed", killIt, true},
-    {"frozen", freezeIt, true},
-    {"cut off", cutFromAll, true},
-    {"cut off from control", cutFromControl, true},
-    {"cut off from one entry", cutFromOneEntry, false},
+const Departure Departures[] = {
+    {"asked to", drainAgent, true},
+    {"killed", killAgent, true},
+    {"frozen", freezeAgent, true},
+    {"cut off", isolateAgent, true},
+    {"cut off from control", disconnectFromControl, true},
+    {"cut off from one entry", disconnectFromOneEntry, false},
 };
 
 /// Submits jobs for a while; counts dispatches that are sent to a3 later
 /// than the bound after it left.
-std::size_t lateDispatches(const Way &Case, Duration After) {
+std::size_t lateDispatches(const Departure &Case, Duration After) {
   ClusterOptions Options;
   Options.Seed = 61;
   // Many slots, so that tasks stuck there do not alone keep others away, and
@@ -87,15 +89,15 @@
 TEST_GROUP(LeavingTest){};
 
 TEST(LeavingTest, NothingIsSentAfterTheBound) {
-  for (const Way &Case : Ways) {
-    LONGS_EQUAL_TEXT(0, lateDispatches(Case, Bound), Case.Name);
+  for (const Departure &Case : Departures) {
+    LONGS_EQUAL_TEXT(0, lateDispatches(Case, MaxDispatchDelay), Case.Name);
   }
 }
 
 TEST(LeavingTest, TheCountSeesDispatchesBeforeTheBound) {
   // All but the asked one are found out by silence, which takes a while.
-  for (const Way &Case : Ways)
-    if (Case.Leave != drain)
+  for (const Departure &Case : Departures)
+    if (Case.Leave != drainAgent)
       CHECK_TRUE_TEXT(lateDispatches(Case, 0s) > 0, Case.Name);
 }
 
--- a/tests/membership/member_registry_test.cpp
+++ b/tests/membership/member_registry_test.cpp
@@ -7,11 +7,12 @@
 
 namespace {
 
-peer::Heartbeat beat(std::uint64_t Life, peer::MemberState State) {
+peer::Heartbeat makeHeartbeat(std::uint64_t Incarnation,
+                              peer::MemberState State) {
   peer::Heartbeat Beat;
   Beat.mutable_member()->set_name("a1");
   Beat.mutable_member()->set_role(peer::ROLE_AGENT);
-  Beat.mutable_member()->set_incarnation(Life);
+  Beat.mutable_member()->set_incarnation(Incarnation);
   Beat.mutable_member()->set_state(State);
   return Beat;
 }
@@ -25,7 +26,7 @@
 
   void setup() override {
     Registry.reset(1, Start);
-    Registry.onHeartbeat(beat(5, peer::MEMBER_ALIVE), Start);
+    Registry.onHeartbeat(makeHeartbeat(5, peer::MEMBER_ALIVE), Start);
   }
   peer::MemberState state() { return Registry.find("a1")->Member.state(); }
 };
@@ -33,10 +34,10 @@
 TEST(MemberRegistryTest, LateWordsOfOlderLivesChangeNothing) {
   struct Row {
     const char *Name;
-    std::uint64_t Life;
-    peer::MemberState Told;
+    std::uint64_t Incarnation;
+    peer::MemberState Reported;
     peer::MemberState Expected;
-    std::uint64_t ExpectedLife;
+    std::uint64_t ExpectedIncarnation;
   };
   // Each row follows on the one before.
   const Row Table[] = {
@@ -47,9 +48,9 @@
       {"the old one's leaving", 5, peer::MEMBER_LEAVING, peer::MEMBER_ALIVE, 6},
   };
   for (const Row &Case : Table) {
-    Registry.onHeartbeat(beat(Case.Life, Case.Told), Start);
+    Registry.onHeartbeat(makeHeartbeat(Case.Incarnation, Case.Reported), Start);
     LONGS_EQUAL_TEXT(Case.Expected, state(), Case.Name);
-    LONGS_EQUAL_TEXT(Case.ExpectedLife,
+    LONGS_EQUAL_TEXT(Case.ExpectedIncarnation,
                      Registry.find("a1")->Member.incarnation(), Case.Name);
   }
 }
@@ -59,7 +60,8 @@
   CHECK_TRUE(Registry.tick(Start + 1001ms));
   LONGS_EQUAL(peer::MEMBER_LOST, state());
   CHECK_FALSE(Registry.tick(Start + 2000ms));
-  CHECK_TRUE(Registry.onHeartbeat(beat(5, peer::MEMBER_ALIVE), Start + 3000ms));
+  CHECK_TRUE(Registry.onHeartbeat(makeHeartbeat(5, peer::MEMBER_ALIVE),
+                                  Start + 3000ms));
   LONGS_EQUAL(peer::MEMBER_ALIVE, state());
 }
 
@@ -70,7 +72,7 @@
 }
 
 TEST(MemberRegistryTest, DifferencesHoldWhatTheAskerMisses) {
-  peer::Heartbeat Asker = beat(1, peer::MEMBER_ALIVE);
+  peer::Heartbeat Asker = makeHeartbeat(1, peer::MEMBER_ALIVE);
   Asker.mutable_member()->set_role(peer::ROLE_ENTRY);
   struct Row {
     std::uint64_t Term;
