--- a/consensus/file_log_storage.cpp
+++ b/consensus/file_log_storage.cpp
@@ -22,11 +22,11 @@
   return (std::filesystem::path(Folder) / Name).string();
 }
 
-/// Reads a file that holds exactly one record.
+/// Reads a file that must hold exactly one record.
 std::string readSingleRecord(const std::string &Path) {
   std::vector<std::string> Records = RecordFile(Path, writeToDisk).readAll();
   if (Records.size() != 1)
-    throw Error("storage", Path, "expected one whole record at offset 0");
+    throw Error("storage", Path, "expected exactly one record");
   return Records.front();
 }
 
@@ -42,7 +42,7 @@
   return Record;
 }
 
-/// Applies one record of the log file to what has been read so far.
+/// Applies one record of the log file to the state read so far.
 void replay(const peer::WalRecord &Record, StoredLog &Stored,
             const std::string &Path) {
   if (Record.has_hard_state()) {
@@ -58,12 +58,12 @@
     return;
   }
   std::uint64_t Index = Record.entry().index();
-  // The snapshot may be newer than the log file beside it.
+  // After a crash in saveSnapshot() the snapshot is newer than the log file.
   if (Index <= Stored.Snapshot.index())
     return;
   if (Index != Next)
     throw Error("storage", Path,
-                fmt::format("expected entry {}, found {}", Next, Index));
+                fmt::format("expected log index {}, found {}", Next, Index));
   Stored.Entries.push_back(Record.entry());
 }
 
@@ -73,7 +73,8 @@
   std::filesystem::create_directories(Folder);
   std::string Path = joinPath(Folder, IdentityName);
   if (std::filesystem::exists(Path))
-    throw Error("storage", Path, "the folder belongs to a replica already");
+    throw Error("storage", Path,
+                "the data folder already belongs to a replica");
   replaceRecordFile(Path, {Identity.SerializeAsString()}, writeToDisk);
 }
 
@@ -83,7 +84,7 @@
     return std::nullopt;
   peer::Identity Read;
   if (!Read.ParseFromString(readSingleRecord(Path)))
-    throw Error("storage", Path, "expected an identity at offset 0");
+    throw Error("storage", Path, "the record is not a valid identity");
   return Read;
 }
 
@@ -94,13 +95,15 @@
   std::optional<peer::Identity> Found = findIdentity(this->Folder);
   if (!Found)
     throw Error("storage", this->Folder,
-                "holds no replica; start once with --init for a new cluster "
-                "or --join to replace a lost replica under a new name");
+                "the data folder holds no replica; start once with --init for "
+                "a new cluster or with --join to replace a lost replica under "
+                "a new name");
   this->Identity = *Found;
   if (this->Identity.cluster() != Cluster ||
       this->Identity.replica() != Replica)
     throw Error("storage", Path,
-                fmt::format("belongs to replica '{}' of cluster '{}'",
+                fmt::format("the data folder belongs to replica '{}' of "
+                            "cluster '{}'",
                             this->Identity.replica(),
                             this->Identity.cluster()));
   this->lock();
@@ -120,19 +123,19 @@
   std::string Path = this->pathOf(LockName);
   this->LockFile = ::open(Path.c_str(), O_RDWR | O_CREAT | O_CLOEXEC, LockMode);
   if (this->LockFile < 0 || ::flock(this->LockFile, LOCK_EX | LOCK_NB) != 0)
-    throw Error("storage", Path, "another process uses this data folder");
+    throw Error("storage", Path, "another process uses the data folder");
 }
 
 peer::Snapshot FileLogStorage::readSnapshot() const {
   peer::Snapshot Read;
   std::string Path = this->pathOf(SnapshotName);
   if (!std::filesystem::exists(Path)) {
-    // A new cluster begins with the replicas that it was set up with.
+    // A new cluster starts with the bootstrap replicas of its identity.
     *Read.mutable_replicas() = this->Identity.bootstrap();
     return Read;
   }
   if (!Read.ParseFromString(readSingleRecord(Path)))
-    throw Error("storage", Path, "expected a snapshot at offset 0");
+    throw Error("storage", Path, "the record is not a valid snapshot");
   return Read;
 }
 
@@ -142,7 +145,8 @@
   for (const std::string &Content : this->Log->readAll()) {
     peer::WalRecord Record;
     if (!Record.ParseFromString(Content))
-      throw Error("storage", this->Log->path(), "expected a log record");
+      throw Error("storage", this->Log->path(),
+                  "a record is not a valid log record");
     replay(Record, Stored, this->Log->path());
   }
   return Stored;
@@ -173,7 +177,8 @@
 void FileLogStorage::saveSnapshot(const peer::Snapshot &Snapshot,
                                   const peer::HardState &Hard,
                                   const std::vector<peer::LogEntry> &Rest) {
-  // The snapshot first: the log that follows it is of no use without it.
+  // The snapshot is stored first, since the remaining log is unusable without
+  // it.
   replaceRecordFile(this->pathOf(SnapshotName), {Snapshot.SerializeAsString()},
                     this->Write);
   std::vector<std::string> Records;
--- a/consensus/file_log_storage.h
+++ b/consensus/file_log_storage.h
@@ -1,11 +1,12 @@
-//===- consensus/file_log_storage.h - The log in a data folder --*- C++ -*-===//
+//===- consensus/file_log_storage.h - Log in a data folder ------*- C++ -*-===//
 ///
 /// \file
-/// Keeps a replica's state under one folder: `identity` says which replica of
-/// which cluster it belongs to, `snapshot` holds the newest snapshot, `log`
-/// the hard state and the entries after it, and `lock` keeps a second process
-/// out. An empty folder is never taken for an old one: a replica whose disk
-/// is lost must come back under a new name.
+/// Stores a replica's state in one folder. The file `identity` names the
+/// cluster and the replica that the folder belongs to, `snapshot` holds the
+/// newest snapshot, `log` holds the hard state and the entries after the
+/// snapshot, and `lock` excludes a second process. An empty folder is rejected
+/// rather than treated as an existing replica without data: a replica that has
+/// lost its disk must rejoin under a new name.
 ///
 //===----------------------------------------------------------------------===//
 #ifndef YARDWHEEL_CONSENSUS_FILE_LOG_STORAGE_H
@@ -21,19 +22,21 @@
 namespace yardwheel {
 
 /// Prepares a folder for a new replica.
-/// \param Bootstrap The first replicas of a new cluster; empty for a replica
-/// that joins an existing one.
-/// \throws Error if the folder holds an identity already.
+/// \param Identity The cluster and the replica. Its `bootstrap` field lists the
+/// initial replicas of a new cluster and is empty for a replica that joins an
+/// existing one.
+/// \throws Error if the folder already holds an identity.
 void initDataFolder(const std::string &Folder, const peer::Identity &Identity);
 
-/// The identity that a folder holds, if it holds one.
-/// \throws Error if its file is damaged.
+/// Returns the identity stored in a folder, or nothing if there is none.
+/// \throws Error if the identity file is corrupt.
 std::optional<peer::Identity> findIdentity(const std::string &Folder);
 
 class FileLogStorage final : public LogStorage {
 public:
-  /// \throws Error if the folder has no identity or another one, or if
-  /// another process uses it.
+  /// Opens and locks a data folder.
+  /// \throws Error if the folder has no identity or that of another replica, or
+  /// if another process uses it.
   FileLogStorage(std::string Folder, const std::string &Cluster,
                  const std::string &Replica, WriteFunction Write = writeToDisk);
   ~FileLogStorage() override;
@@ -46,6 +49,7 @@
                     const std::vector<peer::LogEntry> &Rest) override;
   void sync() override;
 
+  /// Returns the number of bytes truncated from the end of the log file.
   std::uint64_t tornBytes() const { return this->Log->tornBytes(); }
 
 private:
--- a/consensus/log_storage.h
+++ b/consensus/log_storage.h
@@ -1,8 +1,8 @@
-//===- consensus/log_storage.h - Where the log lasts ------------*- C++ -*-===//
+//===- consensus/log_storage.h - Durable log storage ------------*- C++ -*-===//
 ///
 /// \file
-/// The interface between the consensus protocol and its disk. Nothing lasts
-/// until sync() has returned.
+/// The storage interface of the consensus protocol. Writes are durable only
+/// after sync() has returned.
 ///
 //===----------------------------------------------------------------------===//
 #ifndef YARDWHEEL_CONSENSUS_LOG_STORAGE_H
@@ -15,26 +15,27 @@
 
 namespace yardwheel {
 
-/// What a replica finds when it starts.
+/// The persistent state that a replica loads when it starts.
 struct StoredLog {
   peer::HardState Hard;
   peer::Snapshot Snapshot;
-  /// Entries after the snapshot, without gaps.
+  /// Contiguous entries that follow the snapshot.
   std::vector<peer::LogEntry> Entries;
 };
 
-/// Every function throws Error, with the file as the peer, if it fails; the
-/// state then is as if it had not been called.
+/// Stores a replica's log, hard state and snapshot. Every function throws
+/// Error, with the file as the peer, on failure and then leaves the state
+/// unchanged.
 class LogStorage {
 public:
   virtual ~LogStorage() = default;
   virtual StoredLog load() = 0;
   virtual void saveHardState(const peer::HardState &State) = 0;
   virtual void append(const std::vector<peer::LogEntry> &Entries) = 0;
-  /// Drops the entry with this index and all after it.
+  /// Removes the entry at \p Index and all later entries.
   virtual void truncateFrom(std::uint64_t Index) = 0;
-  /// Stores a snapshot and the entries that follow it, in place of all else,
-  /// and syncs.
+  /// Replaces the whole stored state by a snapshot, the hard state and the
+  /// entries that follow the snapshot, and syncs.
   virtual void saveSnapshot(const peer::Snapshot &Snapshot,
                             const peer::HardState &Hard,
                             const std::vector<peer::LogEntry> &Rest) = 0;
--- a/consensus/raft_election.cpp
+++ b/consensus/raft_election.cpp
@@ -1,4 +1,4 @@
-//===- The part of RaftNode that elects and deposes leaders ---------------===//
+//===- Leader election in RaftNode ----------------------------------------===//
 
 #include "consensus/raft_node.h"
 
@@ -19,7 +19,7 @@
     try {
       this->persistHardState(NewTerm, this->Options.Name);
     } catch (const Error &) {
-      // A vote that would not last must not be given, not even to oneself.
+      // A vote that is not stored must not be cast, not even for this replica.
       return;
     }
   }
@@ -74,7 +74,7 @@
     this->resetElectionDeadline(Now);
   }
   peer::RaftMessage Reply = this->messageTo(Message.from());
-  // A granted pre-vote speaks of the term that was asked for.
+  // A granted pre-vote carries the term of the request.
   if (Granted)
     Reply.set_term(Message.term());
   Reply.mutable_vote_reply()->set_pre(Request.pre());
@@ -109,8 +109,9 @@
     try {
       this->persistHardState(Term, "");
     } catch (const Error &) {
-      // The term is taken in memory: it only lets this replica do less. No
-      // vote is given without being stored.
+      // The new term is kept in memory only. This is safe: a higher term only
+      // restricts what this replica does, and no vote is cast without being
+      // stored.
       this->Hard.set_term(Term);
       this->Hard.clear_voted_for();
     }
@@ -129,7 +130,8 @@
   this->Leader = this->Options.Name;
   this->Followers.clear();
   this->syncProgress(Now);
-  // An entry of its own term lets the leader commit what came before.
+  // The leader can commit entries of earlier terms only together with an entry
+  // of its own term.
   peer::LogEntry Entry;
   Entry.set_no_op(true);
   try {
--- a/consensus/raft_log.h
+++ b/consensus/raft_log.h
@@ -1,8 +1,8 @@
 //===- consensus/raft_log.h - The replicated log in memory ------*- C++ -*-===//
 ///
 /// \file
-/// The entries after the last snapshot, and the set of replicas that is in
-/// force: the newest one in the log, committed or not.
+/// The entries after the last snapshot, and the effective replica set: the
+/// newest one in the log, whether committed or not.
 ///
 //===----------------------------------------------------------------------===//
 #ifndef YARDWHEEL_CONSENSUS_RAFT_LOG_H
@@ -24,26 +24,30 @@
     return this->Base.index() + this->Entries.size();
   }
   std::uint64_t lastTerm() const { return *this->termAt(this->lastIndex()); }
-  /// Nothing for an index that is compacted away or not there yet.
+  /// Returns the term of the entry at \p Index, or nothing if the index is
+  /// before the snapshot or after the last entry.
   std::optional<std::uint64_t> termAt(std::uint64_t Index) const;
   const peer::LogEntry &at(std::uint64_t Index) const;
-  /// Entries from \p From on, at most \p Max.
+  /// Returns at most \p Max entries, starting at index \p From.
   std::vector<peer::LogEntry> slice(std::uint64_t From, std::size_t Max) const;
 
   void append(const peer::LogEntry &Entry);
   void truncateFrom(std::uint64_t Index);
-  /// Takes a snapshot's place of all entries up to its index.
+  /// Replaces all entries up to the snapshot's index by the snapshot. Also
+  /// discards later entries if the log disagrees with the snapshot.
   void compact(const peer::Snapshot &Snapshot);
 
   const peer::Snapshot &snapshot() const { return this->Base; }
   std::size_t size() const { return this->Entries.size(); }
   const peer::ReplicaSet &replicas() const { return this->Replicas; }
-  /// Index of the entry that set replicas(), at least the snapshot's.
+  /// Returns the index of the entry that set replicas(), or the snapshot's
+  /// index if the set comes from the snapshot.
   std::uint64_t replicasIndex() const { return this->ReplicasIndex; }
-  /// The set of replicas as of an index.
+  /// Returns the replica set that was effective at \p Index.
   peer::ReplicaSet replicasAt(std::uint64_t Index) const;
 
 private:
+  /// Sets the effective replica set from the entries and the snapshot.
   void updateReplicas();
 
   peer::Snapshot Base;
--- a/consensus/raft_node.cpp
+++ b/consensus/raft_node.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-/// Heartbeats in one election time-out.
+/// Heartbeats sent within one election timeout.
 constexpr int HeartbeatsPerElectionTimeout = 5;
 
 } // namespace
@@ -38,20 +38,22 @@
     return;
   ++this->Campaigns;
   this->resetElectionDeadline(Now);
-  // Also a replica that does not vote: it would send nodes to a leader of long
-  // ago (an old route table, 7 s too long).
+  // A replica that does not vote forgets its leader as well. Otherwise it would
+  // refer nodes to a former leader, which kept an outdated route table in use
+  // for 7 s too long.
   this->Leader.clear();
   if (this->isVoter())
     this->campaign(this->Options.PreVote, Now);
 }
 
 void RaftNode::step(const peer::RaftMessage &Message, TimePoint Now) {
-  // Meant for a replica that lived at this address before.
+  // The message is for a replica that used this address before.
   if (Message.to() != this->Options.Name)
     return;
   bool IsVote = Message.has_vote_request();
   bool PreReply = Message.has_vote_reply() && Message.vote_reply().pre();
-  // A replica that still hears its leader lets nobody disturb it.
+  // A replica that has a live leader ignores vote requests of others, so that
+  // they cannot disrupt that leader.
   if (IsVote && this->Options.CheckQuorum && this->hasRecentLeader(Now) &&
       Message.from() != this->Leader)
     return;
@@ -163,7 +165,7 @@
 std::uint64_t RaftNode::quorumValue(std::vector<std::uint64_t> Values) const {
   if (Values.empty())
     return 0;
-  // The greatest value that a majority has reached.
+  // The largest value that a majority has reached.
   std::sort(Values.begin(), Values.end());
   return Values[(Values.size() - 1) / 2];
 }
--- a/consensus/raft_node.h
+++ b/consensus/raft_node.h
@@ -1,12 +1,13 @@
-//===- consensus/raft_node.h - Our own consensus protocol -------*- C++ -*-===//
+//===- consensus/raft_node.h - Raft consensus protocol ----------*- C++ -*-===//
 ///
 /// \file
-/// One replica of the log, after Raft (Ongaro's thesis): elections with a
-/// pre-vote, a leader that steps down when it no longer hears a quorum, reads
-/// confirmed by a quorum, snapshots, and changes of the replica set one at a
-/// time, with learners.
+/// One replica of the Raft protocol as described in Ongaro's thesis: elections
+/// with pre-vote, a leader that steps down when it loses contact with a quorum
+/// (check quorum), reads confirmed by a quorum, snapshots, and replica set
+/// changes by one replica at a time, with learners.
 ///
-/// Single-threaded, without sockets or clocks; its disk is a LogStorage.
+/// Single-threaded. Uses no sockets and no clock: the caller passes messages
+/// and the current time. Persists its state through LogStorage.
 ///
 //===----------------------------------------------------------------------===//
 #ifndef YARDWHEEL_CONSENSUS_RAFT_NODE_H
@@ -28,33 +29,39 @@
 struct RaftOptions {
   std::string Name;
   std::chrono::milliseconds ElectionTimeout{500};
-  /// In place of Election before the first campaigns of a replica that has
-  /// heard no leader since it started: where all have restarted together,
-  /// nothing is gained by waiting for one. Several times a synced write and a
-  /// round trip.
+  /// Replaces ElectionTimeout for the first campaigns of a replica that has not
+  /// heard from a leader since it started. If all replicas have restarted
+  /// together, there is no leader to wait for. Several times the duration of a
+  /// synced write and a round trip.
   std::chrono::milliseconds FirstElectionTimeout{150};
-  /// How many campaigns may be so early. Where disks are slow, an election
-  /// needs the longer time to come to an end.
+  /// Campaigns that use FirstElectionTimeout. With slow disks, an election
+  /// needs the longer timeout to complete.
   int MaxEarlyCampaigns = 3;
+  /// Applied entries after which a new snapshot is taken.
   std::uint64_t EntriesPerSnapshot = 1000;
+  /// Seed of the random part of the election timeout.
   std::uint64_t Seed = 1;
-  /// Off only in tests that show what the mechanisms are for.
+  /// These three are disabled only by tests that show why they are needed.
   bool PreVote = true;
   bool CheckQuorum = true;
   bool SyncBeforeReply = true;
 };
 
-/// What the protocol asks of its surroundings.
+/// The callbacks of RaftNode to its owner.
 class RaftEvents {
 public:
   virtual ~RaftEvents() = default;
   virtual void send(peer::RaftMessage Message) = 0;
-  /// Called once for each committed entry, in order.
+  /// Applies a committed entry to the state. Called once per entry, in order.
   virtual void apply(const peer::LogEntry &Entry) = 0;
+  /// Returns the applied state in serialized form, for a snapshot.
   virtual std::string saveState() = 0;
+  /// Replaces the state by that of a snapshot.
   virtual void restoreState(const peer::Snapshot &Snapshot) = 0;
-  /// The leader has been confirmed after the read was asked for.
+  /// A quorum has confirmed this replica as leader after the read was
+  /// requested.
   virtual void onReadReady(std::uint64_t Read) = 0;
+  /// This replica has become leader or has ceased to be leader.
   virtual void onLeadershipChange(bool Leads) = 0;
 };
 
@@ -62,25 +69,29 @@
 
 class RaftNode {
 public:
-  /// Loads what the storage holds.
+  /// Loads the stored state.
   RaftNode(RaftOptions Options, LogStorage &Storage, RaftEvents &Events,
            TimePoint Now);
 
   void tick(TimePoint Now);
   void step(const peer::RaftMessage &Message, TimePoint Now);
 
-  /// Appends a command. \returns its index, or nothing if this replica does
-  /// not lead. \throws Error if the disk refuses it.
+  /// Appends a command to the log.
+  /// \returns its index, or nothing if this replica is not the leader.
+  /// \throws Error if it cannot be stored.
   std::optional<std::uint64_t> propose(const std::string &Command,
                                        TimePoint Now);
-  /// Changes the replica set by one replica. \returns nothing if this
-  /// replica does not lead or an earlier change is not committed yet.
+  /// Appends a replica set that differs from the current one in one replica.
+  /// \returns its index, or nothing if this replica is not the leader or an
+  /// earlier change is not committed yet.
+  /// \throws Error if it cannot be stored.
   std::optional<std::uint64_t> proposeReplicas(const peer::ReplicaSet &Set,
                                                TimePoint Now);
-  /// Asks for a read. \returns the number that onReadReady will carry, or
-  /// nothing if this replica does not lead.
+  /// Requests a linearizable read.
+  /// \returns the number that onReadReady() will receive, or nothing if this
+  /// replica is not the leader.
   std::optional<std::uint64_t> read(TimePoint Now);
-  /// Gives leadership up, to stop or to be replaced.
+  /// Gives up leadership, before a shutdown or a replacement.
   void stepDown(TimePoint Now);
 
   RaftRole role() const { return this->Role; }
@@ -91,22 +102,29 @@
   std::uint64_t appliedIndex() const { return this->Applied; }
   const RaftLog &log() const { return this->Log; }
   bool isVoter() const;
-  /// On the leader: whether a replica holds all that is committed.
+  /// On the leader: whether a replica holds all committed entries.
   bool isCaughtUp(const std::string &Name) const;
-  /// On the leader: when a replica was last heard; nothing if it is none.
+  /// On the leader: when a replica last replied, or nothing if \p Name is not a
+  /// replica.
   std::optional<TimePoint> lastHeard(const std::string &Name) const;
-  /// When this replica last heard a leader or led itself.
+  /// Returns when a leader last contacted this replica, or TimePoint::min() if
+  /// none has since it started.
   TimePoint lastLeaderContact() const { return this->LastLeaderContact; }
 
 private:
+  /// The replication state of one follower, kept by the leader.
   struct Progress {
+    /// Index of the next entry to send.
     std::uint64_t Next = 1;
+    /// Index of the last entry known to be stored by the follower.
     std::uint64_t Match = 0;
+    /// The latest broadcast round that the follower has acknowledged.
     std::uint64_t AckedRound = 0;
     TimePoint LastHeard;
   };
   struct PendingRead {
     std::uint64_t Number = 0;
+    /// The broadcast round that a quorum must acknowledge.
     std::uint64_t Round = 0;
   };
 
@@ -165,7 +183,7 @@
   std::uint64_t Round = 0;
   std::uint64_t LastRead = 0;
   std::vector<PendingRead> Reads;
-  /// The no-op with which this replica's leadership began.
+  /// Index of the no-op entry that started this replica's leadership.
   std::uint64_t LeadershipIndex = 0;
 };
 
--- a/consensus/raft_replication.cpp
+++ b/consensus/raft_replication.cpp
@@ -1,4 +1,4 @@
-//===- The part of RaftNode that replicates and applies the log -----------===//
+//===- Log replication in RaftNode ----------------------------------------===//
 
 #include "consensus/raft_node.h"
 
@@ -42,7 +42,7 @@
 
 void RaftNode::sendTo(const std::string &Name, bool FromMatch) {
   Progress &Follower = this->Followers.at(Name);
-  // A heartbeat repeats what has not been acknowledged, in case it was lost.
+  // A heartbeat resends unacknowledged entries, since they may have been lost.
   std::uint64_t From =
       FromMatch && Follower.Match > 0 ? Follower.Match + 1 : Follower.Next;
   std::optional<std::uint64_t> PreviousTerm = this->Log.termAt(From - 1);
@@ -72,11 +72,11 @@
 }
 
 void RaftNode::onAppend(const peer::RaftMessage &Message, TimePoint Now) {
-  peer::RaftMessage Answer = this->messageTo(Message.from());
-  peer::AppendReply *Reply = Answer.mutable_append_reply();
+  peer::RaftMessage ReplyMessage = this->messageTo(Message.from());
+  peer::AppendReply *Reply = ReplyMessage.mutable_append_reply();
   const peer::AppendRequest &Append = Message.append_request();
   if (Message.term() < this->Hard.term()) {
-    this->Events.send(std::move(Answer));
+    this->Events.send(std::move(ReplyMessage));
     return;
   }
   this->Role = RaftRole::Follower;
@@ -87,25 +87,25 @@
 
   std::uint64_t Previous = Append.previous_index();
   std::optional<std::uint64_t> Known = this->Log.termAt(Previous);
-  // What a snapshot covers is committed and so agrees with any leader.
+  // Entries covered by a snapshot are committed, so every leader has them.
   bool Compacted = Previous < this->Log.snapshot().index();
   bool Agrees = Compacted || (Known && *Known == Append.previous_term());
   if (!Agrees) {
     Reply->set_hint_index(std::min(Previous - 1, this->Log.lastIndex()));
-    this->Events.send(std::move(Answer));
+    this->Events.send(std::move(ReplyMessage));
     return;
   }
   try {
     this->storeEntries(Append);
   } catch (const Error &) {
-    // What has not been stored is not acknowledged.
+    // Entries that could not be stored are not acknowledged.
     return;
   }
   std::uint64_t Last =
       Previous + static_cast<std::uint64_t>(Append.entries_size());
   Reply->set_success(true);
   Reply->set_match_index(Last);
-  this->Events.send(std::move(Answer));
+  this->Events.send(std::move(ReplyMessage));
   std::uint64_t NewCommit = std::min(Append.commit(), Last);
   if (NewCommit > this->Commit) {
     this->Commit = NewCommit;
@@ -146,8 +146,8 @@
   Follower.LastHeard = Now;
   Follower.AckedRound = std::max(Follower.AckedRound, Reply.round());
   if (!Reply.success()) {
-    // A replica that has lost what it acknowledged cannot be helped by
-    // sending again at once; the next heartbeat is soon enough.
+    // The follower has lost entries that it acknowledged. Resending at once
+    // does not help; the next heartbeat is soon enough.
     bool LostItsDisk = Reply.hint_index() < Follower.Match;
     Follower.Next = std::max(Reply.hint_index() + 1, Follower.Match + 1);
     if (!LostItsDisk)
@@ -156,7 +156,7 @@
     Follower.Match = std::max(Follower.Match, Reply.match_index());
     Follower.Next = std::max(Follower.Next, Follower.Match + 1);
     this->advanceCommit(Now);
-    // More than one message's worth was missing.
+    // The missing entries did not fit into one message.
     if (Follower.Match < this->Log.lastIndex() &&
         Follower.Next <= this->Log.lastIndex())
       this->sendTo(Message.from(), /*FromMatch=*/false);
@@ -188,12 +188,12 @@
     this->Applied = Snapshot.index();
     this->Events.restoreState(Snapshot);
   }
-  peer::RaftMessage Answer = this->messageTo(Message.from());
-  peer::AppendReply *Reply = Answer.mutable_append_reply();
+  peer::RaftMessage ReplyMessage = this->messageTo(Message.from());
+  peer::AppendReply *Reply = ReplyMessage.mutable_append_reply();
   Reply->set_success(true);
   Reply->set_match_index(std::max(Snapshot.index(), this->Commit));
   Reply->set_round(Message.install_snapshot().round());
-  this->Events.send(std::move(Answer));
+  this->Events.send(std::move(ReplyMessage));
 }
 
 void RaftNode::advanceCommit(TimePoint Now) {
@@ -208,7 +208,8 @@
   }
   std::uint64_t Reached = this->quorumValue(std::move(Matches));
   std::optional<std::uint64_t> Term = this->Log.termAt(Reached);
-  // Only an entry of the leader's own term commits by counting.
+  // Only an entry of the leader's own term can be committed by counting
+  // replicas.
   if (Reached <= this->Commit || !Term || *Term != this->Hard.term())
     return;
   this->Commit = Reached;
@@ -245,7 +246,7 @@
         New, this->Hard,
         Compacted.slice(Compacted.firstIndex(), Compacted.size()));
   } catch (const Error &) {
-    // The log stays longer; the next entry tries again.
+    // The log is not compacted; the next applied entry retries the snapshot.
     return;
   }
   this->Log = std::move(Compacted);
--- a/consensus/record_file.cpp
+++ b/consensus/record_file.cpp
@@ -19,9 +19,9 @@
 
 constexpr std::uint64_t HeaderBytes = 12;
 constexpr std::uint64_t LengthBytes = 4;
-/// The last byte of every record. A crash can leave a file grown to its new
-/// size but with zeros where data was to come; this byte tells that apart
-/// from damage to a record that was whole.
+/// The last byte of every record. A crash can leave a file that has grown to
+/// its new size but holds zeros instead of the data. This non-zero byte
+/// distinguishes such a record from a complete record that was corrupted.
 constexpr char EndMark = static_cast<char>(0xa5);
 constexpr std::uint32_t MaxRecordBytes = 268435456;
 constexpr mode_t FileMode = 0600;
@@ -64,7 +64,7 @@
 
 [[noreturn]] void throwDamaged(const std::string &Path, std::uint64_t Offset) {
   throw Error("storage", Path,
-              fmt::format("record at offset {} is damaged; restore the replica "
+              fmt::format("record at offset {} is corrupt; replace the replica "
                           "under a new name",
                           Offset));
 }
@@ -124,7 +124,7 @@
   std::uint64_t Offset = 0;
   while (Offset < Data.size()) {
     std::uint64_t Left = Data.size() - Offset;
-    // A crash leaves a short record, or bytes that were never written.
+    // A crash can leave a short record, or zeros for data that was not written.
     if (Left < HeaderBytes || isAllZero(Data, Offset))
       break;
     const char *Header = Data.data() + Offset;
@@ -151,7 +151,8 @@
   this->TornBytes = Data.size() - Offset;
   this->Size = Offset;
   if (::ftruncate(this->File, static_cast<off_t>(Offset)) != 0)
-    throwSystemError(this->Path, "cannot cut the torn tail");
+    throwSystemError(this->Path,
+                     "cannot truncate the incomplete record at the end");
   if (::lseek(this->File, static_cast<off_t>(Offset), SEEK_SET) < 0)
     throwSystemError(this->Path, "cannot seek");
   return Records;
@@ -160,7 +161,7 @@
 void RecordFile::requireUsable() const {
   if (this->Unusable)
     throw Error("storage", this->Path,
-                "an earlier failure left its end unknown; restart");
+                "an earlier write or sync failed; restart the process");
 }
 
 void RecordFile::append(const std::vector<std::string> &Contents) {
@@ -171,7 +172,7 @@
   try {
     writeAll(this->File, Record, this->Write, this->Path);
   } catch (const Error &) {
-    // Take back what was written of it, so that the next record fits.
+    // Remove a partial write, so that the next record follows a whole one.
     bool Cut =
         ::ftruncate(this->File, static_cast<off_t>(this->Size)) == 0 &&
         ::lseek(this->File, static_cast<off_t>(this->Size), SEEK_SET) >= 0;
--- a/consensus/record_file.h
+++ b/consensus/record_file.h
@@ -1,9 +1,10 @@
 //===- consensus/record_file.h - Checksummed records in a file --*- C++ -*-===//
 ///
 /// \file
-/// An append-only file of records. Each has a header with its length, a
-/// checksum of the header and one of the content, so that a torn tail, which
-/// a crash leaves, is told from damage, which nothing may hide.
+/// An append-only file of records. Each record has a header with its length, a
+/// checksum of the length and a checksum of the content. The checksums
+/// distinguish an incomplete record at the end of the file, which a crash
+/// leaves and which is truncated, from corruption, which must be reported.
 ///
 //===----------------------------------------------------------------------===//
 #ifndef YARDWHEEL_CONSENSUS_RECORD_FILE_H
@@ -17,7 +18,8 @@
 
 namespace yardwheel {
 
-/// Writes to a descriptor as write(2) does; tests put a full disk here.
+/// Writes to a file descriptor like write(2). Tests replace it to simulate a
+/// full disk.
 using WriteFunction =
     std::function<ssize_t(int File, const void *Data, std::size_t Size)>;
 
@@ -28,18 +30,19 @@
   RecordFile(const RecordFile &) = delete;
   RecordFile &operator=(const RecordFile &) = delete;
 
-  /// Reads all records and cuts a torn tail off, if there is one.
-  /// \throws Error with the file and the offset, if a record is damaged.
+  /// Reads all records and truncates an incomplete record at the end.
+  /// \throws Error with the file and the offset if a record is corrupt.
   std::vector<std::string> readAll();
 
-  /// Appends records together.
-  /// \throws Error if they cannot be written; the file is as before.
+  /// Appends all of \p Contents, one record each, or none of them.
+  /// \throws Error if they cannot be written; the file is then unchanged.
   void append(const std::vector<std::string> &Contents);
-  /// \throws Error if the disk does not take it. No record after the last
-  /// successful sync may be trusted then, and every later call throws too.
+  /// Makes all appended records durable.
+  /// \throws Error if fsync fails. Records appended since the last successful
+  /// sync may then be lost, and every later call throws too.
   void sync();
 
-  /// Bytes that were cut off by readAll().
+  /// Returns the number of bytes that readAll() truncated.
   std::uint64_t tornBytes() const { return this->TornBytes; }
   const std::string &path() const { return this->Path; }
 
@@ -54,13 +57,14 @@
   bool Unusable = false;
 };
 
-/// Writes a file of one record that replaces \p Path in one step.
-/// \throws Error if it cannot be made to last.
+/// Atomically replaces the file at \p Path by one that holds \p Records, and
+/// syncs it.
+/// \throws Error if the file cannot be written or synced.
 void replaceRecordFile(const std::string &Path,
                        const std::vector<std::string> &Records,
                        const WriteFunction &Write);
 
-/// write(2).
+/// Calls write(2).
 ssize_t writeToDisk(int File, const void *Data, std::size_t Size);
 
 } // namespace yardwheel
--- a/membership/announcer.cpp
+++ b/membership/announcer.cpp
@@ -7,14 +7,15 @@
 
 namespace {
 
-/// Intervals without an answer after which a replica is left and its
+/// Intervals without a reply after which a replica is abandoned and its
 /// connection replaced.
 constexpr int MaxSilentIntervals = 2;
-/// Heartbeats in one interval while a node has no configuration: it can do
-/// nothing before, and one message more is cheap.
+/// Heartbeats in one interval while a node has no configuration: it cannot work
+/// without one, and the additional messages are cheap.
 constexpr int StartupHeartbeatsPerInterval = 4;
-/// Questions before their time are at least this part of an interval apart:
-/// messages of many peers, or many late rounds, must not make one each.
+/// Heartbeats ahead of schedule are limited to this number in one interval:
+/// messages of many peers, or many delays of this process, must not trigger one
+/// heartbeat each.
 constexpr int MaxEarlyHeartbeatsPerInterval = 4;
 
 } // namespace
@@ -27,8 +28,8 @@
 
 void Announcer::tick(Instant Now, const InputProgress &Input) {
   this->Search.noteInputProgress(Now.Steady, Input);
-  // What was asked before may be answered here unread; a new question ends
-  // the doubt within a round trip.
+  // Replies to earlier requests may be unread in this process. A new request
+  // confirms the state within a round trip.
   bool WasBehind =
       Input.LastBehind > this->LastHeartbeat && this->canSendEarly(Now.Steady);
   this->checkSilence(Now.Steady);
@@ -89,12 +90,12 @@
   this->LastHeartbeat = Now.Steady;
   this->NextHeartbeat = Now.Steady + this->nextDelay();
   peer::Message Message;
-  peer::Heartbeat *Beat = Message.mutable_heartbeat();
-  *Beat->mutable_member() = this->Self;
-  Beat->set_revision(this->Catalog.revision());
-  Beat->set_table_term(this->TableTerm);
-  Beat->set_table_version(this->TableVersion);
-  Beat->set_sequence(++this->Sequence);
+  peer::Heartbeat *Request = Message.mutable_heartbeat();
+  *Request->mutable_member() = this->Self;
+  Request->set_revision(this->Catalog.revision());
+  Request->set_table_term(this->TableTerm);
+  Request->set_table_version(this->TableVersion);
+  Request->set_sequence(++this->Sequence);
   this->Sink.send(this->Search.target(), std::move(Message));
   this->Search.onRequestSent(this->Sequence, Now.Steady);
 }
@@ -115,13 +116,13 @@
 }
 
 void Announcer::onReply(const peer::HeartbeatReply &Reply, Instant Now) {
-  // Meant for an earlier life of this node.
+  // The reply is for an earlier incarnation of this node.
   if (Reply.incarnation() != this->Self.incarnation())
     return;
   if (Reply.known_incarnation() > this->Self.incarnation())
     this->Events.onNewerIncarnation(Reply.known_incarnation(), Now);
-  // A replica's name changes when its host loses its disk; its address says
-  // enough.
+  // A replica's name changes when its host loses its disk, so replicas are
+  // identified by address only.
   std::vector<PeerRef> Reported;
   for (const peer::Replica &Replica : Reply.replicas())
     Reported.push_back({"", Replica.address()});
@@ -130,24 +131,26 @@
     this->onRefused(Reply, Now);
     return;
   }
-  bool Asked = this->Search.isPending(Reply.sequence());
-  // A life begins with a whole state that a quorum has confirmed for it.
+  bool IsReply = this->Search.isPending(Reply.sequence());
+  // A new incarnation accepts its first configuration only from a reply to its
+  // own request, since only that is confirmed by a quorum.
   bool HasConfiguration = this->Catalog.revision() > 0;
-  if (!Asked && !HasConfiguration)
+  if (!IsReply && !HasConfiguration)
     return;
   if (Reply.has_catalog() && this->Catalog.merge(Reply.catalog()))
     this->Events.onCatalog(Now);
   if (Reply.has_members())
     this->applyMembers(Reply.members(), Now);
-  if (!Asked) {
+  if (!IsReply) {
     this->Search.onUnsolicitedReply(Now.Steady);
     return;
   }
-  // Counted from the question: the answer may have been long under way. Also
-  // when another replica has been asked since: a quorum stood behind it.
+  // The confirmation counts from the time of the request, since the reply may
+  // have been delayed. It also counts if another replica has been asked since,
+  // because a quorum confirmed it.
   std::optional<TimePoint> Sent =
       this->Search.onConfirmed(Reply.sequence(), Now.Steady);
-  // An update that does not fit what is held here has not been taken over.
+  // A catalog update that does not apply to the one held here was not merged.
   bool IsUpToDate = Reply.catalog().revision() <= this->Catalog.revision();
   if (Sent && IsUpToDate)
     this->Events.onConfirmed(*Sent);
@@ -158,7 +161,7 @@
     return;
   for (const peer::Member &Member : Update.members()) {
     peer::Member &Known = this->Table[Member.name()];
-    // Late words of an older life change nothing.
+    // Delayed information about an earlier incarnation is ignored.
     if (Member.incarnation() < Known.incarnation())
       continue;
     bool HasLeft = Known.incarnation() == Member.incarnation() &&
--- a/membership/announcer.h
+++ b/membership/announcer.h
@@ -1,8 +1,8 @@
-//===- membership/announcer.h - A node's heartbeats to control --*- C++ -*-===//
+//===- membership/announcer.h - Heartbeats to control -----------*- C++ -*-===//
 ///
 /// \file
-/// Announces an entry or an agent to control, renews its lease, and takes the
-/// configuration and the member table from the replies.
+/// Announces an entry or an agent to control, renews its lease by heartbeats,
+/// and applies the configuration and the member table of the replies.
 ///
 //===----------------------------------------------------------------------===//
 #ifndef YARDWHEEL_MEMBERSHIP_ANNOUNCER_H
@@ -21,34 +21,36 @@
 
 namespace yardwheel {
 
-/// Hears what control has told this node.
+/// Receives the information that control has sent to this node.
 class AnnouncerEvents {
 public:
   virtual ~AnnouncerEvents() = default;
-  /// A quorum of control stood behind the configuration held here at some
-  /// time after \p RequestSent.
+  /// A quorum of control has confirmed the configuration held here as the
+  /// newest, at some time after \p RequestSent.
   virtual void onConfirmed(TimePoint RequestSent) = 0;
-  /// Each control replica known has been asked since \p Since whether that
-  /// configuration is the newest, and none has answered as leader; the least
-  /// time if that cannot be said.
+  /// Every known control replica has been asked since \p Since whether that
+  /// configuration is the newest, and none has replied as leader.
+  /// \param Since TimePoint::min() if this is not known.
   virtual void onNoLeaderSince(TimePoint Since) {}
-  /// A peer has a newer revision in force than is held here.
+  /// A peer uses a newer configuration revision than the one held here.
   virtual void onNewerRevision(std::uint64_t Revision) {}
   virtual void onCatalog(Instant Now) = 0;
   virtual void onMember(const peer::Member &Member, Instant Now) = 0;
   /// Control knows a higher incarnation of this node: the host's clock was set
-  /// back before this life began. Peers take its words for those of an ended
-  /// life until it announces itself with a higher one.
+  /// back before this process started. Peers treat its messages as those of an
+  /// ended incarnation until it announces itself with a higher one.
+  /// \param Known The highest incarnation that control knows.
   virtual void onNewerIncarnation(std::uint64_t Known, Instant Now) {}
 };
 
 struct AnnouncerOptions {
   std::vector<PeerRef> Controls;
   std::chrono::milliseconds Interval{1000};
-  /// A question that stays unanswered for so long is put to others as well, and
-  /// while none answers as leader the next goes out by the second of these.
-  /// Slow by default: hundreds of nodes ask when a leader has gone.
+  /// Time without a reply after which other replicas are asked as well. Long by
+  /// default, like SearchInterval: hundreds of nodes search when a leader is
+  /// lost.
   std::chrono::milliseconds SearchDelay{2000};
+  /// Interval between requests while no replica replies as leader.
   std::chrono::milliseconds SearchInterval{500};
 };
 
@@ -58,34 +60,40 @@
             PeerSink &Sink, AnnouncerEvents &Events);
 
   void tick(Instant Now, const InputProgress &Input);
-  /// For a process whose input is not watched.
+  /// For a process that does not track its input progress.
   void tick(Instant Now) { this->tick(Now, {Now.Steady}); }
-  /// A peer has a newer revision in force: asks control at once, but not for
-  /// every message of every peer.
+  /// A peer uses configuration \p Revision. Asks control at once if it is newer
+  /// than the one held here, but not for every message of every peer.
   void noteRevision(std::uint64_t Revision, Instant Now);
   void onReply(const peer::HeartbeatReply &Reply, Instant Now);
-  /// How control has answered of late, for logs.
+  /// Describes the latest reply of each control replica, for logs.
   std::string describeControl(TimePoint Now) const {
     return this->Search.describeReplies(Now);
   }
-  /// Adds control replicas to those that are tried.
+  /// Adds control replicas that may be asked.
   void addControls(const std::vector<PeerRef> &Added);
-  /// Announces the state that \p Change has made at once.
+  /// Applies \p Change to the state of this node and announces it at once.
   void update(const std::function<void(peer::Member &)> &Change, Instant Now);
 
 private:
   void sendHeartbeat(Instant Now);
-  /// Between two questions sent in the ordinary course.
+  /// Returns the regular interval between two heartbeats.
   std::chrono::milliseconds heartbeatInterval() const;
-  /// Until the next question.
+  /// Returns the delay from one heartbeat to the next, which is shorter during
+  /// a search.
   std::chrono::milliseconds nextDelay() const;
-  /// Whether this process may ask before its time, as it asked not just now.
+  /// Whether a heartbeat may be sent ahead of schedule: the last one was not
+  /// sent just now.
   bool canSendEarly(TimePoint Now) const;
-  /// Looks for replicas that are silent before the next question goes out.
+  /// Starts a search if the current replica does not reply, and replaces the
+  /// connections of silent replicas. Called before the next heartbeat is sent.
   void checkSilence(TimePoint Now);
   void onRefused(const peer::HeartbeatReply &Reply, Instant Now);
+  /// Marks members that a full table does not list as lost.
   void markMissingLost(const peer::MemberUpdate &Update, Instant Now);
-  /// \returns whether the update belongs to a table at least as new.
+  /// Adopts the version of the update's table.
+  /// \returns false if the update is older than the table held here, or is an
+  /// increment of a table that is not held here.
   bool acceptTable(const peer::MemberUpdate &Update, Instant Now);
   void applyMembers(const peer::MemberUpdate &Update, Instant Now);
 
--- a/membership/control_search.cpp
+++ b/membership/control_search.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-/// Questions that may still be answered; several seconds of a search.
+/// Pending requests that are kept; covers several seconds of a search.
 constexpr std::size_t MaxPendingRequests = 64;
 
 } // namespace
@@ -42,7 +42,7 @@
   this->LastBehind = Input.LastBehind;
 }
 
-// ---- Whom to ask ----
+// ---- Selection of a replica ----
 
 const PeerRef &ControlSearch::target() const {
   return this->Replicas[this->Current].Peer;
@@ -75,14 +75,15 @@
 void ControlSearch::searchIfLate(std::chrono::milliseconds Timeout,
                                  TimePoint Now) {
   std::optional<TimePoint> Oldest = this->oldestUnanswered();
-  // Its answer may lie here unread.
+  // Its reply may be unread in this process.
   if (Oldest && Now - std::max(*Oldest, this->LastBehind) >= Timeout)
     this->advanceSearch("late", "", Now);
 }
 
 void ControlSearch::searchIfSilent(std::chrono::milliseconds Timeout,
                                    TimePoint Now) {
-  // Early questions are many in a short time, and say nothing by their number.
+  // Requests sent ahead of schedule are many within a short time, so their
+  // number alone does not indicate a silent replica.
   std::optional<TimePoint> Oldest = this->oldestUnanswered();
   if (Oldest &&
       this->unansweredCount() >= this->Options.MaxUnansweredRequests &&
@@ -96,7 +97,7 @@
   std::vector<PeerRef> Silent;
   for (const auto &[Sequence, Pending] : this->PendingRequests) {
     Replica &Target = this->Replicas[Pending.Replica];
-    // Its answer may lie here unread.
+    // Its reply may be unread in this process.
     TimePoint Since = std::max(Pending.Sent, this->LastBehind);
     bool Late = Pending.Sent >= Target.ConnectedSince && Now - Since >= Timeout;
     if (!Late)
@@ -123,7 +124,7 @@
   this->SelectedAtSequence = this->LatestSequence;
 }
 
-// ---- Questions and answers ----
+// ---- Requests and replies ----
 
 void ControlSearch::onRequestSent(std::uint64_t Sequence, TimePoint Sent) {
   this->LatestSequence = Sequence;
@@ -131,7 +132,7 @@
   this->PendingRequests[Sequence] = {this->Current, Sent};
   if (this->PendingRequests.size() > MaxPendingRequests)
     this->PendingRequests.erase(this->PendingRequests.begin());
-  // While no replica answers, each is asked in its turn.
+  // During a search, all replicas are asked in turn.
   if (!this->Searching)
     return;
   ++this->SearchRequests;
@@ -169,14 +170,15 @@
     From.LastRefused = Answered.Sent;
     From.NamedLeader = Leader;
   }
-  // A late word of a replica that was left long ago.
+  // A late refusal of a replica that is no longer the current one.
   if (!this->Searching && Answered.Replica != this->Current)
     return false;
   this->advanceSearch("refused", Leader, Now);
   std::optional<std::size_t> Named = this->find(Leader);
-  // A replica may name a leader of long ago. One that was asked since this
-  // question was sent is not asked again for it: else two replicas that name
-  // each other kept a node from all others (an old route table, 7 s too long).
+  // The named leader may be a former one, so it is asked at once only if it has
+  // not been asked since this request was sent. Otherwise two replicas that
+  // name each other keep a node from asking any other replica, which kept an
+  // outdated route table in use for 7 s too long.
   bool Follow = Named && *Named != Answered.Replica &&
                 this->Replicas[*Named].LastAsked < Answered.Sent;
   if (Follow)
@@ -185,13 +187,13 @@
 }
 
 void ControlSearch::onUnsolicitedReply(TimePoint Now) {
-  // Whatever was found before, there is a leader.
+  // There is a leader, so all earlier evidence against one is discarded.
   this->SilenceCountsSince = Now;
   for (Replica &Known : this->Replicas)
     Known.LastRefused = TimePoint::min();
 }
 
-// ---- What is proved ----
+// ---- Evidence that there is no leader ----
 
 TimePoint ControlSearch::lastFailedRequest(std::size_t Which) const {
   TimePoint Result = this->Replicas[Which].LastRefused;
@@ -211,12 +213,13 @@
     bool Refused =
         Known.LastRefused != TimePoint::min() &&
         Known.LastRefused >= Known.LastAsked - this->Options.ReplyTimeout;
-    Text += fmt::format("{}{} {}", Text.empty() ? "" : ", ", Known.Peer.Address,
+    Text += fmt::format("{}{} {}", Text.empty() ? "" : "; ", Known.Peer.Address,
                         Refused ? "refused" : "silent");
     if (Refused && !Known.NamedLeader.empty())
-      Text += fmt::format(" for {}", Known.NamedLeader);
+      Text += fmt::format(" (named leader {})", Known.NamedLeader);
     if (Known.LastAsked != TimePoint::min())
-      Text += fmt::format(" {} ms", millisBetween(Known.LastAsked, Now));
+      Text +=
+          fmt::format(", asked {} ms ago", millisBetween(Known.LastAsked, Now));
   }
   return Text;
 }
@@ -231,7 +234,7 @@
     std::optional<std::size_t> Leader = this->find(Reporter.NamedLeader);
     if (!Leader)
       return !Reporter.NamedLeader.empty();
-    // A replica may name a leader of a moment ago.
+    // The named leader may have stepped down only a moment ago.
     return this->Replicas[*Leader].LastRefused <
            Reporter.LastRefused - this->Options.ReplyTimeout;
   });
--- a/membership/member_registry.cpp
+++ b/membership/member_registry.cpp
@@ -15,24 +15,26 @@
   Target.Member.set_version(++this->Version);
 }
 
-bool MemberRegistry::onHeartbeat(const peer::Heartbeat &Beat, TimePoint Now) {
-  const peer::Member &Reported = Beat.member();
+bool MemberRegistry::onHeartbeat(const peer::Heartbeat &Request,
+                                 TimePoint Now) {
+  const peer::Member &Reported = Request.member();
   auto [Found, New] = this->Entries.try_emplace(Reported.name());
   Entry &Target = Found->second;
   std::uint64_t Known = Target.Member.incarnation();
-  // Late words of an older life change nothing.
+  // A delayed heartbeat of an earlier incarnation is ignored.
   if (!New && Reported.incarnation() < Known)
     return false;
   bool SameIncarnation = !New && Reported.incarnation() == Known;
-  // Leaving is final for a life.
+  // An incarnation that is leaving cannot become alive again.
   bool Rejoins = SameIncarnation &&
                  Target.Member.state() == peer::MEMBER_LEAVING &&
                  Reported.state() != peer::MEMBER_LEAVING;
   Target.LastHeard = Now;
-  Target.Revision = SameIncarnation ? std::max(Target.Revision, Beat.revision())
-                                    : Beat.revision();
-  Target.TableTerm = Beat.table_term();
-  Target.TableVersion = Beat.table_version();
+  Target.Revision = SameIncarnation
+                        ? std::max(Target.Revision, Request.revision())
+                        : Request.revision();
+  Target.TableTerm = Request.table_term();
+  Target.TableVersion = Request.table_version();
   bool Changed = !SameIncarnation ||
                  Target.Member.state() != Reported.state() ||
                  !isSameNeeds(Target.Member.room(), Reported.room());
@@ -57,14 +59,14 @@
 }
 
 peer::MemberUpdate
-MemberRegistry::updateFor(const peer::Heartbeat &Beat) const {
+MemberRegistry::updateFor(const peer::Heartbeat &Request) const {
   peer::MemberUpdate Update;
   Update.set_term(this->Term);
   Update.set_version(this->Version);
-  Update.set_full(Beat.table_term() != this->Term);
-  if (Beat.member().role() == peer::ROLE_AGENT)
+  Update.set_full(Request.table_term() != this->Term);
+  if (Request.member().role() == peer::ROLE_AGENT)
     return Update;
-  std::uint64_t Since = Update.full() ? 0 : Beat.table_version();
+  std::uint64_t Since = Update.full() ? 0 : Request.table_version();
   for (const auto &[Name, Target] : this->Entries)
     if (Target.Member.version() > Since)
       *Update.add_members() = Target.Member;
@@ -72,10 +74,10 @@
 }
 
 peer::MemberUpdate
-MemberRegistry::partialFor(const peer::Heartbeat &Beat) const {
+MemberRegistry::partialFor(const peer::Heartbeat &Request) const {
   peer::MemberUpdate Update;
   Update.set_partial(true);
-  if (Beat.member().role() == peer::ROLE_AGENT)
+  if (Request.member().role() == peer::ROLE_AGENT)
     return Update;
   for (const auto &[Name, Target] : this->Entries)
     *Update.add_members() = Target.Member;
--- a/membership/member_registry.h
+++ b/membership/member_registry.h
@@ -1,10 +1,10 @@
-//===- membership/member_registry.h - Who is there --------------*- C++ -*-===//
+//===- membership/member_registry.h - Member table --------------*- C++ -*-===//
 ///
 /// \file
-/// The member table that the leading control replica keeps in memory. Members
-/// hold a lease that heartbeats renew; one that is silent for longer is lost.
-/// A new leader starts with an empty table, which heartbeats fill, and its
-/// term tells the tables apart.
+/// The member table that the leader of control keeps in memory. Each member
+/// holds a lease that its heartbeats renew; a member whose lease expires is
+/// lost. A new leader starts with an empty table, which heartbeats fill. The
+/// leader's term identifies the table.
 ///
 //===----------------------------------------------------------------------===//
 #ifndef YARDWHEEL_MEMBERSHIP_MEMBER_REGISTRY_H
@@ -23,26 +23,30 @@
 public:
   explicit MemberRegistry(std::chrono::milliseconds Lease) : Lease(Lease) {}
 
-  /// Begins the table of a new term of leadership. Until every live node has
-  /// had the time to announce itself, the table is not given out.
+  /// Starts an empty table for a new term. The table is not settled, and must
+  /// not be sent in full, until every live node has had time for a heartbeat.
   void reset(std::uint64_t NewTerm, TimePoint Now);
   bool isSettled(TimePoint Now) const { return Now >= this->SettledAt; }
 
-  /// Takes a heartbeat. \returns whether anything about members changed.
-  bool onHeartbeat(const peer::Heartbeat &Beat, TimePoint Now);
-  /// Declares silent members lost. \returns whether any was.
+  /// Applies a heartbeat.
+  /// \returns whether the member table changed.
+  bool onHeartbeat(const peer::Heartbeat &Request, TimePoint Now);
+  /// Marks members with an expired lease as lost.
+  /// \returns whether there was any.
   bool tick(TimePoint Now);
 
-  /// What a node that holds the given table must be told. Agents are told
-  /// nothing: they answer whoever asks them. Call it on a settled table only.
-  peer::MemberUpdate updateFor(const peer::Heartbeat &Beat) const;
-  /// What a node may be told of a table that is not settled yet.
-  peer::MemberUpdate partialFor(const peer::Heartbeat &Beat) const;
+  /// Returns the members that have changed since the table version that the
+  /// heartbeat reports, or all members if it reports a table of another term.
+  /// Agents receive no members, since they reply to any peer. Must only be
+  /// called on a settled table.
+  peer::MemberUpdate updateFor(const peer::Heartbeat &Request) const;
+  /// Returns the members known so far, for a table that is not settled yet.
+  peer::MemberUpdate partialFor(const peer::Heartbeat &Request) const;
 
   struct Entry {
     peer::Member Member;
     TimePoint LastHeard;
-    /// The configuration revision that it last reported.
+    /// The configuration revision that the member last reported.
     std::uint64_t Revision = 0;
     std::uint64_t TableTerm = 0;
     std::uint64_t TableVersion = 0;
@@ -52,6 +56,7 @@
   std::uint64_t version() const { return this->Version; }
 
 private:
+  /// Gives a changed member the next table version.
   void bumpVersion(Entry &Target);
 
   std::chrono::milliseconds Lease;
--- a/tests/consensus/file_log_storage_test.cpp
+++ b/tests/consensus/file_log_storage_test.cpp
@@ -50,7 +50,7 @@
 
   std::string path(const char *Name) const { return Folder + "/" + Name; }
 
-  /// Writes three entries and a vote, synced.
+  /// Writes and syncs three entries and a vote.
   void fill() const {
     FileLogStorage Storage(Folder, "demo", "c1");
     Storage.load();
@@ -62,8 +62,9 @@
     Storage.sync();
   }
 
-  /// How many entries load, or -1 if the damage is reported with the file.
-  int loadable() const {
+  /// Returns the number of entries that load, or -1 if the corruption is
+  /// reported with its file.
+  int countLoadedEntries() const {
     try {
       FileLogStorage Storage(Folder, "demo", "c1");
       return static_cast<int>(Storage.load().Entries.size());
@@ -74,7 +75,7 @@
   }
 };
 
-TEST(FileLogStorageTest, KeepsWhatWasSynced) {
+TEST(FileLogStorageTest, LoadsSyncedState) {
   fill();
   FileLogStorage Storage(Folder, "demo", "c1");
   StoredLog Stored = Storage.load();
@@ -84,23 +85,23 @@
   STRCMP_EQUAL("three", Stored.Entries[2].command().c_str());
 }
 
-TEST(FileLogStorageTest, ATornTailIsCutAtAnyLength) {
+TEST(FileLogStorageTest, TruncatesAnIncompleteRecordOfAnyLength) {
   fill();
   std::string Whole = readFile(path("log"));
   int Last = 0;
   for (std::size_t Length = 0; Length <= Whole.size(); ++Length) {
     writeFile(path("log"), Whole.substr(0, Length));
-    int Entries = loadable();
-    // A cut loses whole records from the end, and nothing else.
+    int Entries = countLoadedEntries();
+    // Truncation loses only whole records at the end.
     CHECK_TRUE(Entries >= Last);
     Last = Entries;
     writeFile(path("log"), Whole.substr(0, Length) + std::string(100, '\0'));
-    LONGS_EQUAL(Entries, loadable());
+    LONGS_EQUAL(Entries, countLoadedEntries());
   }
   LONGS_EQUAL(3, Last);
 }
 
-TEST(FileLogStorageTest, AnyFlippedBitIsReportedAndNeverLoaded) {
+TEST(FileLogStorageTest, ReportsCorruptionOfAnyByte) {
   fill();
   for (const char *Name : {"log", "identity"}) {
     std::string Whole = readFile(path(Name));
@@ -108,14 +109,15 @@
       std::string Damaged = Whole;
       Damaged[I] = static_cast<char>(Damaged[I] ^ 0x10);
       writeFile(path(Name), Damaged);
-      LONGS_EQUAL_TEXT(-1, loadable(), fmt::format("{} {}", Name, I).c_str());
+      LONGS_EQUAL_TEXT(-1, countLoadedEntries(),
+                       fmt::format("{} {}", Name, I).c_str());
     }
     writeFile(path(Name), Whole);
   }
-  LONGS_EQUAL(3, loadable());
+  LONGS_EQUAL(3, countLoadedEntries());
 }
 
-TEST(FileLogStorageTest, SnapshotsReplaceTheLogAndAreChecked) {
+TEST(FileLogStorageTest, SnapshotsReplaceTheLogAndAreChecksummed) {
   {
     FileLogStorage Storage(Folder, "demo", "c1");
     Storage.load();
@@ -140,7 +142,7 @@
     std::string Damaged = Whole;
     Damaged[I] = static_cast<char>(Damaged[I] ^ 0x10);
     writeFile(path("snapshot"), Damaged);
-    LONGS_EQUAL(-1, loadable());
+    LONGS_EQUAL(-1, countLoadedEntries());
   }
 }
 
@@ -155,20 +157,20 @@
     Snapshot.set_term(1);
     Storage.saveSnapshot(Snapshot, {}, {entry(3, "three")});
   }
-  // The new snapshot stands beside the log of before.
+  // The state after a crash: the new snapshot with the old log.
   writeFile(path("log"), OldLog);
-  LONGS_EQUAL(1, loadable());
+  LONGS_EQUAL(1, countLoadedEntries());
 }
 
-TEST(FileLogStorageTest, AFullDiskRefusesAndLeavesNoTrace) {
-  std::size_t Room = SIZE_MAX;
-  auto Write = [&Room](int File, const void *Data, std::size_t Size) {
-    std::size_t Taken = std::min(Size, Room);
+TEST(FileLogStorageTest, AFailedWriteToAFullDiskLeavesNoPartialRecord) {
+  std::size_t FreeBytes = SIZE_MAX;
+  auto Write = [&FreeBytes](int File, const void *Data, std::size_t Size) {
+    std::size_t Taken = std::min(Size, FreeBytes);
     if (Taken == 0) {
       errno = ENOSPC;
       return static_cast<ssize_t>(-1);
     }
-    Room -= Room == SIZE_MAX ? 0 : Taken;
+    FreeBytes -= FreeBytes == SIZE_MAX ? 0 : Taken;
     return ::write(File, Data, Taken);
   };
   {
@@ -176,21 +178,21 @@
     Storage.load();
     Storage.append({entry(1, "one")});
     for (std::size_t Left : {0U, 1U, 13U, 30U}) {
-      Room = Left;
+      FreeBytes = Left;
       CHECK_THROWS(Error, Storage.append({entry(2, "two"), entry(3, "three")}));
     }
-    Room = SIZE_MAX;
+    FreeBytes = SIZE_MAX;
     Storage.append({entry(2, "second")});
     Storage.sync();
   }
-  LONGS_EQUAL(2, loadable());
+  LONGS_EQUAL(2, countLoadedEntries());
 }
 
-TEST(FileLogStorageTest, RefusesWrongOwnersAndSecondProcesses) {
+TEST(FileLogStorageTest, RejectsOtherReplicasAndASecondProcess) {
   struct Row {
     const char *Cluster;
     const char *Replica;
-    bool Good;
+    bool CanOpen;
   };
   const Row Table[] = {
       {"demo", "c1", true}, {"other", "c1", false}, {"demo", "c2", false}};
@@ -201,14 +203,14 @@
     } catch (const Error &) {
       Opened = false;
     }
-    CHECK_EQUAL(Case.Good, Opened);
+    CHECK_EQUAL(Case.CanOpen, Opened);
   }
   FileLogStorage First(Folder, "demo", "c1");
   CHECK_THROWS(Error, FileLogStorage(Folder, "demo", "c1"));
   CHECK_THROWS(Error, initDataFolder(Folder, peer::Identity()));
 }
 
-TEST(FileLogStorageTest, AnEmptyFolderIsNoReplica) {
+TEST(FileLogStorageTest, RejectsAnEmptyFolder) {
   std::string Empty = path("empty");
   std::filesystem::create_directories(Empty);
   CHECK_THROWS(Error, FileLogStorage(Empty, "demo", "c1"));
--- a/tests/consensus/raft_cluster.h
+++ b/tests/consensus/raft_cluster.h
@@ -1,9 +1,9 @@
-//===- tests/consensus/raft_cluster.h - Replicas in a bad network -*- C++ -*-=//
+//===- tests/consensus/raft_cluster.h - Emulated Raft cluster ---*- C++ -*-===//
 ///
 /// \file
-/// Replicas of the consensus log in a virtual world. After every applied
-/// entry it checks that all replicas apply the same entries in one order, and
-/// that no term has two leaders.
+/// Raft replicas in an emulated network with faults. Checks on every applied
+/// entry that all replicas apply the same entries in the same order, and on
+/// every election that no term has two leaders.
 ///
 //===----------------------------------------------------------------------===//
 #ifndef YARDWHEEL_TESTS_CONSENSUS_RAFT_CLUSTER_H
@@ -27,12 +27,14 @@
   VirtualWorld World;
 
   void run(Duration Time) { this->World.run(Time); }
+  /// Stops a replica and discards the writes that it has not synced.
   void crash(const std::string &Name);
   void restart(const std::string &Name);
-  /// Starts a replica that never was a member.
+  /// Starts a replica with an empty disk that is not in the replica set yet.
   void join(const std::string &Name);
 
-  /// Proposes at a replica. \returns the index, if it takes the proposal.
+  /// Proposes a command at a replica.
+  /// \returns its index, or nothing if the replica is down or not the leader.
   std::optional<std::uint64_t> propose(const std::string &Name,
                                        const std::string &Command);
   RaftNode &node(const std::string &Name) {
@@ -41,16 +43,18 @@
   MemoryLogStorage &disk(const std::string &Name) {
     return *this->Disks.at(Name);
   }
+  /// Returns the running leader with the highest term, or "" if there is none.
   std::string leader();
   std::vector<std::string> names() const;
 
-  /// Commands applied by a replica, in order.
+  /// Returns the commands that a replica has applied, in order.
   std::vector<std::string> applied(const std::string &Name) const;
-  /// Commands whose commit the proposing leader has seen.
+  /// Returns the commands whose commit the proposing leader has seen.
   const std::vector<std::string> &acknowledged() const {
     return this->Acknowledged;
   }
   std::size_t readsReady() const { return this->Reads; }
+  /// Returns a description of the latest violated invariant, or "".
   const std::string &violation() const { return this->Violation; }
 
 private:
--- a/tests/consensus/raft_fuzz_test.cpp
+++ b/tests/consensus/raft_fuzz_test.cpp
@@ -1,8 +1,8 @@
 //===- Random faults on the consensus log, for many seeds -----------------===//
 ///
-/// Differential: the naive log is one list in one memory, the list of what
-/// leaders acknowledged. Every replica's state must hold all of it, once, and
-/// all replicas must agree.
+/// A differential test. The reference is the list of commands that leaders
+/// acknowledged, in one process's memory. Every replica's state must contain
+/// each of them exactly once, and all replicas must have the same state.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -21,7 +21,7 @@
 
 constexpr std::uint64_t DefaultSeeds = 1000;
 
-void causeFault(RaftCluster &Cluster, std::mt19937_64 &Random) {
+void injectFault(RaftCluster &Cluster, std::mt19937_64 &Random) {
   std::vector<std::string> Names = Cluster.names();
   const std::string &One = Names[Random() % Names.size()];
   const std::string &Other = Names[Random() % Names.size()];
@@ -75,7 +75,7 @@
       if (Random() % 2 == 0)
         Cluster.propose(Name, fmt::format("{}-{}", Name, Step));
     if (Random() % 5 == 0)
-      causeFault(Cluster, Random);
+      injectFault(Cluster, Random);
     Cluster.run(std::chrono::milliseconds(Random() % 100));
   }
   Cluster.World.healAll();
@@ -100,7 +100,7 @@
       Result.Problem = "replicas differ: " + Name;
   for (const std::string &Command : Cluster.acknowledged())
     if (std::count(First.begin(), First.end(), Command) != 1)
-      Result.Problem = "acknowledged, but not there once: " + Command;
+      Result.Problem = "acknowledged, but not applied exactly once: " + Command;
   if (First.empty() || First.back() != "last")
     Result.Problem = "no progress after the faults ended";
   return Result;
@@ -110,7 +110,7 @@
 
 TEST_GROUP(RaftFuzzTest){};
 
-TEST(RaftFuzzTest, NoSeedLosesOrReordersAnAcknowledgedChange) {
+TEST(RaftFuzzTest, NoSeedLosesOrDuplicatesAcknowledgedCommands) {
   std::size_t Acknowledged = 0;
   const SeedRange Seeds = seedRange(DefaultSeeds);
   for (std::uint64_t Seed = Seeds.First; Seed <= Seeds.Last; ++Seed) {
@@ -122,7 +122,7 @@
   CHECK_TRUE(Acknowledged > (Seeds.Last - Seeds.First) * 10);
 }
 
-TEST(RaftFuzzTest, TheCheckerCatchesAReplyBeforeTheSync) {
+TEST(RaftFuzzTest, TheCheckerDetectsRepliesBeforeSync) {
   std::size_t Caught = 0;
   for (std::uint64_t Seed = 1; Seed <= 60; ++Seed)
     Caught += runSeed(Seed, false).Problem.empty() ? 0 : 1;
--- a/tests/consensus/raft_node_test.cpp
+++ b/tests/consensus/raft_node_test.cpp
@@ -19,9 +19,10 @@
   return std::find(All.begin(), All.end(), One) != All.end();
 }
 
-/// Adds a learner, waits for it, promotes it and removes the old replica.
-void replace(RaftCluster &Cluster, const std::string &Old,
-             const std::string &New) {
+/// Adds a learner, waits until it has caught up, promotes it and removes the
+/// old replica.
+void replaceReplica(RaftCluster &Cluster, const std::string &Old,
+                    const std::string &New) {
   auto Propose = [&](const peer::ReplicaSet &Set) {
     RaftNode &Leader = Cluster.node(Cluster.leader());
     CHECK_TRUE(
@@ -48,11 +49,11 @@
 
 TEST_GROUP(RaftNodeTest){};
 
-// All hosts may lose power together, and callers wait for the first leader.
-TEST(RaftNodeTest, WhereAllRestartTogetherALeaderIsFoundEarly) {
+// All hosts can lose power together. Callers then wait for the first election.
+TEST(RaftNodeTest, ElectsALeaderEarlyAfterACommonRestart) {
   struct Row {
     int MaxEarlyCampaigns;
-    Duration Longest;
+    Duration MaxWait;
     bool Expected;
   };
   const Row Rows[] = {{3, 400ms, true}, {0, 400ms, false}, {0, 1500ms, true}};
@@ -67,13 +68,14 @@
     Cluster.run(1s);
     for (const std::string &Name : Cluster.names())
       Cluster.restart(Name);
-    Cluster.run(Row.Longest);
+    Cluster.run(Row.MaxWait);
     LONGS_EQUAL(Row.Expected, !Cluster.leader().empty());
   }
 }
 
-// One that restarts alone must not depose a leader it has not heard yet.
-TEST(RaftNodeTest, AnEarlyCampaignDeposesNoLeader) {
+// A replica that restarts alone must not depose a leader that it has not heard
+// from yet.
+TEST(RaftNodeTest, AnEarlyCampaignDoesNotDeposeTheLeader) {
   RaftOptions Options = defaults();
   Options.FirstElectionTimeout = 5ms;
   RaftCluster Cluster(3, Options, 3);
@@ -105,7 +107,7 @@
   }
 }
 
-TEST(RaftNodeTest, ACutOffLeaderStepsDownOnlyWithCheckQuorum) {
+TEST(RaftNodeTest, AnIsolatedLeaderStepsDownOnlyWithCheckQuorum) {
   for (bool CheckQuorum : {false, true}) {
     RaftOptions Options = defaults();
     Options.CheckQuorum = CheckQuorum;
@@ -119,7 +121,7 @@
     std::size_t Before = Cluster.readsReady();
     Cluster.node(Old).read(Cluster.World.now().Steady);
     Cluster.run(1s);
-    // Either way, it answers no read without a quorum.
+    // In both cases it must not complete a read without a quorum.
     LONGS_EQUAL(Before, Cluster.readsReady());
     Cluster.propose(Cluster.leader(), "new");
     Cluster.run(500ms);
@@ -134,16 +136,17 @@
   for (bool PreVote : {false, true}) {
     RaftOptions Options = defaults();
     Options.PreVote = PreVote;
-    // Alone, each of the two mechanisms would hide what the other is for.
+    // Either mechanism alone prevents the failure, so both are switched
+    // together.
     Options.CheckQuorum = PreVote;
     RaftCluster Cluster(3, Options, 7);
     Cluster.run(2s);
     std::string Leader = Cluster.leader();
-    std::string Away = Leader == "r1" ? "r2" : "r1";
-    Cluster.World.isolate(Away);
+    std::string Isolated = Leader == "r1" ? "r2" : "r1";
+    Cluster.World.isolate(Isolated);
     Cluster.run(5s);
     std::uint64_t Term = Cluster.node(Leader).term();
-    Cluster.World.reconnect(Away);
+    Cluster.World.reconnect(Isolated);
     Cluster.run(2s);
     CHECK_EQUAL(PreVote, Cluster.node(Leader).term() == Term);
   }
@@ -165,24 +168,24 @@
   }
 }
 
-TEST(RaftNodeTest, ALaggardCatchesUpThroughASnapshot) {
+TEST(RaftNodeTest, ALaggingReplicaCatchesUpThroughASnapshot) {
   RaftCluster Cluster(3, defaults(), 13);
   Cluster.run(2s);
   std::string Leader = Cluster.leader();
-  std::string Away = Leader == "r1" ? "r2" : "r1";
-  Cluster.World.isolate(Away);
+  std::string Isolated = Leader == "r1" ? "r2" : "r1";
+  Cluster.World.isolate(Isolated);
   for (int I = 0; I < 500; ++I) {
     Cluster.propose(Leader, fmt::format("c{}", I));
     Cluster.run(10ms);
   }
   CHECK_TRUE(Cluster.node(Leader).log().snapshot().index() > 400);
-  Cluster.World.reconnect(Away);
+  Cluster.World.reconnect(Isolated);
   Cluster.run(2s);
-  LONGS_EQUAL(500, Cluster.applied(Away).size());
-  STRCMP_EQUAL("c499", Cluster.applied(Away).back().c_str());
+  LONGS_EQUAL(500, Cluster.applied(Isolated).size());
+  STRCMP_EQUAL("c499", Cluster.applied(Isolated).back().c_str());
 }
 
-TEST(RaftNodeTest, ALostDiskIsReplacedAndASecondHostMayThenBeLost) {
+TEST(RaftNodeTest, AReplacedReplicaToleratesTheLossOfASecondHost) {
   RaftCluster Cluster(3, defaults(), 17);
   Cluster.run(2s);
   for (int I = 0; I < 100; ++I) {
@@ -192,8 +195,8 @@
   std::string Lost = Cluster.leader() == "r1" ? "r2" : "r1";
   Cluster.crash(Lost);
   Cluster.join("new");
-  replace(Cluster, Lost, "new");
-  // Right after the repair, a second host goes for good.
+  replaceReplica(Cluster, Lost, "new");
+  // A second host is lost for good right after the replacement.
   std::string Second = Cluster.leader();
   Cluster.crash(Second);
   Cluster.run(3s);
@@ -206,7 +209,7 @@
   STRCMP_EQUAL("", Cluster.violation().c_str());
 }
 
-TEST(RaftNodeTest, AFullDiskTakesNoChangeAndLosesNone) {
+TEST(RaftNodeTest, AFullDiskRejectsProposalsAndLosesNone) {
   RaftCluster Cluster(3, defaults(), 19);
   Cluster.run(2s);
   std::string Leader = Cluster.leader();
@@ -223,7 +226,7 @@
   CHECK_FALSE(contains(Cluster.applied(Leader), "refused"));
 }
 
-TEST(RaftNodeTest, OnlyOneChangeOfTheReplicasIsUnderWay) {
+TEST(RaftNodeTest, AllowsOneReplicaSetChangeAtATime) {
   RaftCluster Cluster(3, defaults(), 23);
   Cluster.run(2s);
   RaftNode &Leader = Cluster.node(Cluster.leader());
--- a/tests/membership/announcer_test.cpp
+++ b/tests/membership/announcer_test.cpp
@@ -58,8 +58,8 @@
   void advance(std::chrono::milliseconds Time) { Now.Steady += Time; }
 };
 
-// The replica may be well and only its connection silent.
-TEST(AnnouncerTest, AReplicaThatStaysSilentIsGivenAnotherConnectionAndLeft) {
+// The replica may be healthy and only its connection broken.
+TEST(AnnouncerTest, ReconnectsAndAbandonsASilentReplica) {
   Announcer Announce(Options, Self, Catalog, Sink, Events);
   for (int I = 0; I < 12 && Sink.LastTo != "c2"; ++I) {
     STRCMP_EQUAL("", Sink.Reconnected.c_str());
@@ -70,7 +70,7 @@
   STRCMP_EQUAL("c1", Sink.Reconnected.c_str());
 }
 
-TEST(AnnouncerTest, ConfirmationCountsFromTheQuestion) {
+TEST(AnnouncerTest, AConfirmationCountsFromTheTimeOfTheRequest) {
   Announcer Announce(Options, Self, Catalog, Sink, Events);
   Announce.tick(Now);
   TimePoint Asked = Now.Steady;
@@ -79,8 +79,8 @@
   CHECK_TRUE(Events.Confirmed == Asked);
 }
 
-// The host's clock may have been set back before this life began.
-TEST(AnnouncerTest, ANodeHearsOfAHigherIncarnationUnderItsName) {
+// The host's clock may have been set back before this process started.
+TEST(AnnouncerTest, ReportsAHigherIncarnationOfThisNode) {
   struct Row {
     std::uint64_t Known;
     std::uint64_t Expected;
@@ -97,17 +97,17 @@
   }
 }
 
-TEST(AnnouncerTest, ALifeBeginsOnlyWithAnAnswerToItsOwnQuestion) {
+TEST(AnnouncerTest, AcceptsAFirstConfigurationOnlyFromAReplyToItsOwnRequest) {
   struct Row {
     const char *Name;
     std::uint64_t Sequence;
     std::uint64_t Incarnation;
     std::uint64_t Expected;
   };
-  const Row Rows[] = {{"an unasked push", 0, 7, 0},
-                      {"an answer to an earlier life", 1, 6, 0},
-                      {"an answer not asked for yet", 9, 7, 0},
-                      {"its own answer", 1, 7, 5}};
+  const Row Rows[] = {{"an unsolicited message", 0, 7, 0},
+                      {"a reply to an earlier incarnation", 1, 6, 0},
+                      {"a reply to a request not sent yet", 9, 7, 0},
+                      {"a reply to its own request", 1, 7, 5}};
   for (const Row &Case : Rows) {
     NodeCatalog Fresh;
     Announcer Announce(Options, Self, Fresh, Sink, Events);
@@ -119,7 +119,7 @@
   }
 }
 
-TEST(AnnouncerTest, ANewerRevisionOfAPeerIsAskedForAtOnceButNotEachTime) {
+TEST(AnnouncerTest, RequestsANewerRevisionOfAPeerAtOnceButOnlyOnce) {
   Announcer Announce(Options, Self, Catalog, Sink, Events);
   Announce.tick(Now);
   Announce.onReply(reply(1, 5), Now);
@@ -131,9 +131,10 @@
   LONGS_EQUAL(2, Sink.Sent);
 }
 
-// What control has told a process that was behind may lie there unread, or be
-// old: it asks anew at once, but not with each tick while it stays behind.
-TEST(AnnouncerTest, AfterHavingBeenBehindANodeAsksAtOnce) {
+// If a process has not kept up with its input, replies of control may be unread
+// or outdated. It sends a new request at once, but not on each tick while it
+// stays behind.
+TEST(AnnouncerTest, SendsARequestAtOnceAfterFallingBehind) {
   struct Row {
     const char *Name;
     std::chrono::milliseconds SinceQuestion;
@@ -141,15 +142,15 @@
     int Questions;
   };
   const Row Rows[] = {{"behind until now", 300ms, 0ms, 1},
-                      {"behind after the question", 300ms, 20ms, 1},
-                      {"behind before the question", 300ms, 320ms, 0},
-                      {"asked a moment ago", 100ms, 0ms, 0}};
+                      {"behind after the request", 300ms, 20ms, 1},
+                      {"behind before the request", 300ms, 320ms, 0},
+                      {"request sent a moment ago", 100ms, 0ms, 0}};
   for (const Row &Row : Rows) {
     NodeCatalog Fresh;
     Announcer Announce(Options, Self, Fresh, Sink, Events);
     Announce.tick(Now);
     Announce.onReply(reply(1, 5), Now);
-    // The beat that was due before the first answer.
+    // Sends the heartbeat that was scheduled before the first reply.
     advance(1000ms);
     Announce.tick(Now);
     Announce.onReply(reply(2, 5), Now);
@@ -160,9 +161,9 @@
   }
 }
 
-// Questions that are sent early must not make a replica that is well look
+// Requests sent ahead of schedule must not make a healthy replica count as
 // silent.
-TEST(AnnouncerTest, QuestionsAfterLatenessDoNotHurryTheSearchForAnother) {
+TEST(AnnouncerTest, EarlyRequestsDoNotSpeedUpTheSearch) {
   Announcer Announce(Options, Self, Catalog, Sink, Events);
   Announce.tick(Now);
   Announce.onReply(reply(1, 5), Now);
@@ -179,9 +180,9 @@
   STRCMP_EQUAL("c2", Sink.LastTo.c_str());
 }
 
-// The next replica may already be asked when an answer comes that was long
-// under way: what it confirms counts all the same.
-TEST(AnnouncerTest, ALateAnswerStillConfirmsFromItsQuestion) {
+// A delayed reply may arrive when the next replica has already been asked. What
+// it confirms must still count.
+TEST(AnnouncerTest, ADelayedReplyConfirmsFromTheTimeOfItsRequest) {
   Announcer Announce(Options, Self, Catalog, Sink, Events);
   Announce.tick(Now);
   Announce.onReply(reply(1, 5), Now);
@@ -197,7 +198,7 @@
   LONGS_EQUAL(6, Catalog.revision());
 }
 
-TEST(AnnouncerTest, ASilentReplicaIsLeftForTheNext) {
+TEST(AnnouncerTest, AsksTheNextReplicaAfterSilence) {
   Announcer Announce(Options, Self, Catalog, Sink, Events);
   for (const char *Expected : {"c1", "c1", "c2"}) {
     Announce.tick(Now);
@@ -206,15 +207,17 @@
   }
 }
 
-// After a restart of everything each heartbeat that is saved is an outage.
-TEST(AnnouncerTest, UntilItsLifeHasBegunANodeAsksMoreOften) {
+// After a restart of the whole deployment, each saved heartbeat would prolong
+// the outage.
+TEST(AnnouncerTest, ANodeWithoutConfigurationSendsMoreHeartbeats) {
   Announcer Announce(Options, Self, Catalog, Sink, Events);
   Announce.tick(Now);
   advance(250ms);
   Announce.tick(Now);
   LONGS_EQUAL(2, Sink.Sent);
   Announce.onReply(reply(2, 5), Now);
-  // The beat that was due already still goes out; then the interval is whole.
+  // The heartbeat that is already scheduled is still sent; then the full
+  // interval applies.
   for (int I = 0; I < 4; ++I) {
     advance(250ms);
     Announce.tick(Now);
@@ -225,7 +228,7 @@
   LONGS_EQUAL(4, Sink.Sent);
 }
 
-TEST(AnnouncerTest, AFullTableDropsWhoIsMissing) {
+TEST(AnnouncerTest, AFullTableMarksMissingMembersLost) {
   Announcer Announce(Options, Self, Catalog, Sink, Events);
   Announce.tick(Now);
   peer::HeartbeatReply Reply = reply(1, 5);
@@ -243,7 +246,7 @@
   LONGS_EQUAL(peer::MEMBER_LOST, Events.Last.state());
 }
 
-TEST(AnnouncerTest, MembersOfAnUnsettledTableAreTakenButDropNobody) {
+TEST(AnnouncerTest, AnUnsettledTableAddsMembersButMarksNoneLost) {
   Announcer Announce(Options, Self, Catalog, Sink, Events);
   Announce.tick(Now);
   peer::HeartbeatReply Whole = reply(1, 5);
--- a/tests/membership/control_search_test.cpp
+++ b/tests/membership/control_search_test.cpp
@@ -13,12 +13,12 @@
 constexpr auto Tick = 20ms;
 constexpr auto SearchInterval = 60ms;
 
-/// What a replica does with a question.
+/// How a replica reacts to a request.
 enum class ReplicaAction { Silent, Refuses, Leads };
 
 struct ScriptedReplica {
   ReplicaAction Action = ReplicaAction::Silent;
-  /// Whom it names when it refuses; -1 for nobody.
+  /// The replica that it names as leader when it refuses; -1 for none.
   int NamedReplica = -1;
 };
 
@@ -44,8 +44,8 @@
     Search.noteInputProgress(Now, {Now});
     return Search;
   }
-  /// Asks once; the replica answers within the same moment. \returns whether
-  /// one that is named should be asked at once.
+  /// Sends one request, which the replica answers without delay.
+  /// \returns whether the named replica should be asked at once.
   bool sendRequest(ControlSearch & Search) {
     std::string To = Search.target().Address;
     RequestTargets.push_back(To);
@@ -61,7 +61,7 @@
             : addressOf(static_cast<std::size_t>(Target.NamedReplica));
     return Search.onRefused(Sequence, Named, Now);
   }
-  /// Goes on for \p Time as a node does that reads all of its input.
+  /// Runs for \p Time as a node that reads all of its input.
   void runFor(ControlSearch & Search, std::chrono::milliseconds Time) {
     TimePoint End = Now + Time;
     for (; Now < End; Now += Tick) {
@@ -77,9 +77,9 @@
   }
 };
 
-// Wherever the leader stands among replicas that are silent, refuse or send a
-// node back to each other, it is found within a round.
-TEST(ControlSearchTest, TheLeaderIsFoundWhateverTheOthersDo) {
+// The leader must be found within one round among replicas that are silent,
+// refuse, or name each other as leader.
+TEST(ControlSearchTest, FindsTheLeaderWhateverOtherReplicasDo) {
   const ScriptedReplica Silent{ReplicaAction::Silent};
   const ScriptedReplica Refuses{ReplicaAction::Refuses};
   const ScriptedReplica NamesFirst{ReplicaAction::Refuses, 0};
@@ -92,17 +92,17 @@
     std::chrono::milliseconds Within;
   };
   const Row Rows[] = {
-      {"a replica that names one that refuses",
+      {"a replica names one that refuses",
        {Refuses, NamesFirst, Refuses, Refuses, Leads},
        500ms},
-      {"two that name each other",
+      {"two replicas name each other",
        {NamesSecond, NamesFirst, Silent, Silent, Leads},
        500ms},
-      {"all name the same wrong one",
+      {"all name the same wrong leader",
        {NamesSecond, Refuses, NamesSecond, NamesSecond, NamesSecond, Leads},
        600ms},
-      {"one that names itself", {Silent, Refuses, NamesSelf, Leads}, 700ms},
-      {"one that names a silent one",
+      {"a replica names itself", {Silent, Refuses, NamesSelf, Leads}, 700ms},
+      {"a replica names a silent one",
        {Silent, NamesFirst, NamesFirst, Leads},
        700ms},
       {"all silent but the last",
@@ -121,9 +121,9 @@
   }
 }
 
-// Only where each replica was asked, and refused or had time to answer, is it
-// known that none leads.
-TEST(ControlSearchTest, ThatNobodyLeadsIsKnownOnceAllWereAsked) {
+// That there is no leader is known only after every replica has been asked and
+// has refused or had time to reply.
+TEST(ControlSearchTest, KnowsThereIsNoLeaderOnlyAfterAskingAll) {
   const ScriptedReplica Silent{ReplicaAction::Silent};
   const ScriptedReplica Refuses{ReplicaAction::Refuses};
   struct Row {
@@ -137,7 +137,7 @@
        {Silent, Silent, Silent},
        240ms,
        false},
-      {"all asked, their answers may come",
+      {"all asked, replies may still arrive",
        {Silent, Silent, Silent},
        700ms,
        false},
@@ -176,8 +176,8 @@
   }
 }
 
-// What it said of a leader before is no longer known to be so.
-TEST(ControlSearchTest, AReplicaThatFallsSilentSpeaksForNoLeader) {
+// The leader that it named earlier may be gone since.
+TEST(ControlSearchTest, ASilentReplicaIsNoEvidenceOfALeader) {
   ControlSearch Search =
       makeSearch({{ReplicaAction::Silent}, {ReplicaAction::Refuses, 0}});
   runFor(Search, 1500ms);
@@ -187,7 +187,7 @@
   CHECK(Search.noLeaderSince() != TimePoint::min());
 }
 
-TEST(ControlSearchTest, WhatWasFoundGoesWithTheNextSignOfALeader) {
+TEST(ControlSearchTest, AMessageOfALeaderDiscardsEvidenceAgainstOne) {
   ControlSearch Search =
       makeSearch({{ReplicaAction::Refuses}, {ReplicaAction::Refuses}});
   runFor(Search, 300ms);
@@ -197,15 +197,15 @@
   CHECK(Search.isSearching());
 }
 
-// The answers to what was asked before may lie unread.
-TEST(ControlSearchTest, AfterALongSpellSilenceCountsFromTheNextQuestion) {
+// Replies to earlier requests may be unread.
+TEST(ControlSearchTest, SilenceCountsFromTheNextRequestAfterALongInputDelay) {
   for (bool Frozen : {true, false}) {
     ControlSearch Search =
         makeSearch({{ReplicaAction::Silent}, {ReplicaAction::Silent}});
     runFor(Search, 1500ms);
     CHECK(Search.noLeaderSince() != TimePoint::min());
     TimePoint LastIdle = Now;
-    // Busy, it is watched on, but never has read all.
+    // A busy process records its progress, but never reads all of its input.
     for (int I = 0; I < 50 && !Frozen; ++I) {
       Now += Tick;
       Search.noteInputProgress(Now, {LastIdle, Now});
@@ -221,9 +221,9 @@
   }
 }
 
-// An entry under load is late for a moment again and again. Were it not to
-// notice that control is gone, it would refuse all its callers meanwhile.
-TEST(ControlSearchTest, ShortSpellsOfLatenessDoNotHideThatNobodyLeads) {
+// An entry under load is often briefly behind with its input. If that hid the
+// loss of control, the entry would refuse all its callers in the meantime.
+TEST(ControlSearchTest, ShortInputDelaysDoNotHideThatThereIsNoLeader) {
   ControlSearch Search =
       makeSearch({{ReplicaAction::Silent}, {ReplicaAction::Silent}});
   for (int I = 0; I < 12; ++I) {
@@ -236,7 +236,7 @@
   CHECK(Search.noLeaderSince() != TimePoint::min());
 }
 
-TEST(ControlSearchTest, ALateAnswerOfALeaderEndsTheSearch) {
+TEST(ControlSearchTest, ADelayedReplyOfALeaderEndsTheSearch) {
   ControlSearch Search = makeSearch({{ReplicaAction::Silent},
                                      {ReplicaAction::Silent},
                                      {ReplicaAction::Silent}});
@@ -250,7 +250,7 @@
   STRCMP_EQUAL("c0", Search.target().Address.c_str());
 }
 
-TEST(ControlSearchTest, ASilentReplicaIsNamedOnceForEachSpanOfSilence) {
+TEST(ControlSearchTest, ASilentReplicaIsReturnedOncePerTimeout) {
   ControlSearch Search =
       makeSearch({{ReplicaAction::Silent}, {ReplicaAction::Refuses}});
   std::size_t Named = 0;
--- a/tests/membership/leaving_test.cpp
+++ b/tests/membership/leaving_test.cpp
@@ -1,5 +1,4 @@
-//===- No new work to an upstream that leaves, whichever way it leaves
-//-------===//
+//===- No dispatches to an upstream after it leaves -----------------------===//
 
 #include "emulator/virtual_cluster.h"
 
@@ -11,7 +10,7 @@
 
 namespace {
 
-/// The bound that operators are told, in virtual time.
+/// The limit that is documented for operators, in virtual time.
 constexpr Duration MaxDispatchDelay = 4s;
 
 void drainAgent(VirtualCluster &Cluster) {
@@ -31,26 +30,27 @@
 struct Departure {
   const char *Name;
   void (*Leave)(VirtualCluster &Cluster);
-  /// Whether every entry must stop sending to it, or only e1.
+  /// Whether all entries must stop dispatching to it, or only e1.
   bool AllEntries;
 };
 
 const Departure Departures[] = {
-    {"asked to", drainAgent, true},
+    {"drained", drainAgent, true},
     {"killed", killAgent, true},
     {"frozen", freezeAgent, true},
-    {"cut off", isolateAgent, true},
-    {"cut off from control", disconnectFromControl, true},
-    {"cut off from one entry", disconnectFromOneEntry, false},
+    {"isolated", isolateAgent, true},
+    {"disconnected from control", disconnectFromControl, true},
+    {"disconnected from one entry", disconnectFromOneEntry, false},
 };
 
-/// Submits jobs for a while; counts dispatches that are sent to a3 later
-/// than the bound after it left.
+/// Submits jobs before and after agent a3 leaves.
+/// \returns the number of dispatches sent to a3 later than \p After its
+/// departure.
 std::size_t lateDispatches(const Departure &Case, Duration After) {
   ClusterOptions Options;
   Options.Seed = 61;
-  // Many slots, so that tasks stuck there do not alone keep others away, and
-  // jobs large enough to use them.
+  // Enough slots that tasks stuck on a3 do not by themselves prevent further
+  // dispatches, and jobs large enough to use the slots.
   Options.Slots = 16;
   Options.Controls = 3;
   Options.Agents = 5;
@@ -88,20 +88,20 @@
 
 TEST_GROUP(LeavingTest){};
 
-TEST(LeavingTest, NothingIsSentAfterTheBound) {
+TEST(LeavingTest, NothingIsDispatchedAfterTheLimit) {
   for (const Departure &Case : Departures) {
     LONGS_EQUAL_TEXT(0, lateDispatches(Case, MaxDispatchDelay), Case.Name);
   }
 }
 
-TEST(LeavingTest, TheCountSeesDispatchesBeforeTheBound) {
-  // All but the asked one are found out by silence, which takes a while.
+TEST(LeavingTest, TheCountIncludesDispatchesBeforeTheLimit) {
+  // All departures except a drain are detected by silence, which takes a while.
   for (const Departure &Case : Departures)
     if (Case.Leave != drainAgent)
       CHECK_TRUE_TEXT(lateDispatches(Case, 0s) > 0, Case.Name);
 }
 
-TEST(LeavingTest, AWokenAgentStartsNothingOfWhatItMissed) {
+TEST(LeavingTest, AThawedAgentStartsNoOldDispatches) {
   for (bool Fence : {false, true}) {
     ClusterOptions Options;
     Options.Seed = 63;
@@ -119,7 +119,7 @@
   }
 }
 
-TEST(LeavingTest, ALeavingAgentFinishesWhatRunsAndGivesTheRestBack) {
+TEST(LeavingTest, ADrainingAgentFinishesRunningTasksAndReturnsTheRest) {
   ClusterOptions Options;
   Options.Seed = 65;
   Options.Agents = 4;
--- a/tests/membership/member_registry_test.cpp
+++ b/tests/membership/member_registry_test.cpp
@@ -9,12 +9,12 @@
 
 peer::Heartbeat makeHeartbeat(std::uint64_t Incarnation,
                               peer::MemberState State) {
-  peer::Heartbeat Beat;
-  Beat.mutable_member()->set_name("a1");
-  Beat.mutable_member()->set_role(peer::ROLE_AGENT);
-  Beat.mutable_member()->set_incarnation(Incarnation);
-  Beat.mutable_member()->set_state(State);
-  return Beat;
+  peer::Heartbeat Request;
+  Request.mutable_member()->set_name("a1");
+  Request.mutable_member()->set_role(peer::ROLE_AGENT);
+  Request.mutable_member()->set_incarnation(Incarnation);
+  Request.mutable_member()->set_state(State);
+  return Request;
 }
 
 const TimePoint Start{1h};
@@ -31,7 +31,7 @@
   peer::MemberState state() { return Registry.find("a1")->Member.state(); }
 };
 
-TEST(MemberRegistryTest, LateWordsOfOlderLivesChangeNothing) {
+TEST(MemberRegistryTest, IgnoresDelayedHeartbeatsOfEarlierIncarnations) {
   struct Row {
     const char *Name;
     std::uint64_t Incarnation;
@@ -39,13 +39,15 @@
     peer::MemberState Expected;
     std::uint64_t ExpectedIncarnation;
   };
-  // Each row follows on the one before.
+  // Each row continues from the state that the previous one left.
   const Row Table[] = {
-      {"older life", 4, peer::MEMBER_LEAVING, peer::MEMBER_ALIVE, 5},
+      {"an earlier incarnation", 4, peer::MEMBER_LEAVING, peer::MEMBER_ALIVE,
+       5},
       {"leaving", 5, peer::MEMBER_LEAVING, peer::MEMBER_LEAVING, 5},
       {"leaving is final", 5, peer::MEMBER_ALIVE, peer::MEMBER_LEAVING, 5},
-      {"a new life", 6, peer::MEMBER_ALIVE, peer::MEMBER_ALIVE, 6},
-      {"the old one's leaving", 5, peer::MEMBER_LEAVING, peer::MEMBER_ALIVE, 6},
+      {"a new incarnation", 6, peer::MEMBER_ALIVE, peer::MEMBER_ALIVE, 6},
+      {"leaving of the earlier incarnation", 5, peer::MEMBER_LEAVING,
+       peer::MEMBER_ALIVE, 6},
   };
   for (const Row &Case : Table) {
     Registry.onHeartbeat(makeHeartbeat(Case.Incarnation, Case.Reported), Start);
@@ -55,7 +57,7 @@
   }
 }
 
-TEST(MemberRegistryTest, SilenceBeyondTheLeaseIsLossAndSpeechEndsIt) {
+TEST(MemberRegistryTest, AnExpiredLeaseMarksAMemberLostUntilItsNextHeartbeat) {
   CHECK_FALSE(Registry.tick(Start + 1000ms));
   CHECK_TRUE(Registry.tick(Start + 1001ms));
   LONGS_EQUAL(peer::MEMBER_LOST, state());
@@ -65,13 +67,13 @@
   LONGS_EQUAL(peer::MEMBER_ALIVE, state());
 }
 
-TEST(MemberRegistryTest, ANewLeadersTableIsGivenOutWhenSettled) {
+TEST(MemberRegistryTest, ANewTableSettlesAfterOneLease) {
   Registry.reset(2, Start + 5s);
   CHECK_FALSE(Registry.isSettled(Start + 5s + 999ms));
   CHECK_TRUE(Registry.isSettled(Start + 6s));
 }
 
-TEST(MemberRegistryTest, DifferencesHoldWhatTheAskerMisses) {
+TEST(MemberRegistryTest, UpdatesContainOnlyWhatTheNodeLacks) {
   peer::Heartbeat Asker = makeHeartbeat(1, peer::MEMBER_ALIVE);
   Asker.mutable_member()->set_role(peer::ROLE_ENTRY);
   struct Row {
