--- a/consensus/raft_replication.cpp
+++ b/consensus/raft_replication.cpp
@@ -1,4 +1,4 @@
-//===- The part of RaftNode that replicates and applies the log -----------===//
+//===- Log replication in RaftNode ----------------------------------------===//
 
 #include "consensus/raft_node.h"
 
@@ -42,7 +42,7 @@
 
 void RaftNode::sendTo(const std::string &Name, bool FromMatch) {
   Progress &Follower = this->Followers.at(Name);
-  // A heartbeat repeats what has not been acknowledged, in case it was lost.
+  // A heartbeat resends unacknowledged entries, since they may have been lost.
   std::uint64_t From =
       FromMatch && Follower.Match > 0 ? Follower.Match + 1 : Follower.Next;
   std::optional<std::uint64_t> PreviousTerm = this->Log.termAt(From - 1);
@@ -72,40 +72,40 @@
 }
 
 void RaftNode::onAppend(const peer::RaftMessage &Message, TimePoint Now) {
-  peer::RaftMessage Answer = this->messageTo(Message.from());
-  peer::AppendReply *Reply = Answer.mutable_append_reply();
+  peer::RaftMessage ReplyMessage = this->messageTo(Message.from());
+  peer::AppendReply *Reply = ReplyMessage.mutable_append_reply();
   const peer::AppendRequest &Append = Message.append_request();
   if (Message.term() < this->Hard.term()) {
-    this->Events.send(std::move(Answer));
+    this->Events.send(std::move(ReplyMessage));
     return;
   }
   this->Role = RaftRole::Follower;
   this->Leader = Message.from();
-  this->LeaderHeard = Now;
-  this->resetElection(Now);
+  this->LastLeaderContact = Now;
+  this->resetElectionDeadline(Now);
   Reply->set_round(Append.round());
 
   std::uint64_t Previous = Append.previous_index();
   std::optional<std::uint64_t> Known = this->Log.termAt(Previous);
-  // What a snapshot covers is committed and so agrees with any leader.
+  // Entries covered by a snapshot are committed, so every leader has them.
   bool Compacted = Previous < this->Log.snapshot().index();
   bool Agrees = Compacted || (Known && *Known == Append.previous_term());
   if (!Agrees) {
     Reply->set_hint_index(std::min(Previous - 1, this->Log.lastIndex()));
-    this->Events.send(std::move(Answer));
+    this->Events.send(std::move(ReplyMessage));
     return;
   }
   try {
-    this->takeEntries(Append);
+    this->storeEntries(Append);
   } catch (const Error &) {
-    // What has not been stored is not acknowledged.
+    // Entries that could not be stored are not acknowledged.
     return;
   }
   std::uint64_t Last =
       Previous + static_cast<std::uint64_t>(Append.entries_size());
   Reply->set_success(true);
   Reply->set_match_index(Last);
-  this->Events.send(std::move(Answer));
+  this->Events.send(std::move(ReplyMessage));
   std::uint64_t NewCommit = std::min(Append.commit(), Last);
   if (NewCommit > this->Commit) {
     this->Commit = NewCommit;
@@ -113,7 +113,7 @@
   }
 }
 
-void RaftNode::takeEntries(const peer::AppendRequest &Append) {
+void RaftNode::storeEntries(const peer::AppendRequest &Append) {
   std::vector<peer::LogEntry> New;
   for (const peer::LogEntry &Entry : Append.entries()) {
     if (Entry.index() <= this->Log.snapshot().index())
@@ -146,8 +146,8 @@
   Follower.LastHeard = Now;
   Follower.AckedRound = std::max(Follower.AckedRound, Reply.round());
   if (!Reply.success()) {
-    // A replica that has lost what it acknowledged cannot be helped by
-    // sending again at once; the next heartbeat is soon enough.
+    // The follower has lost entries that it acknowledged. Resending at once
+    // does not help; the next heartbeat is soon enough.
     bool LostItsDisk = Reply.hint_index() < Follower.Match;
     Follower.Next = std::max(Reply.hint_index() + 1, Follower.Match + 1);
     if (!LostItsDisk)
@@ -156,7 +156,7 @@
     Follower.Match = std::max(Follower.Match, Reply.match_index());
     Follower.Next = std::max(Follower.Next, Follower.Match + 1);
     this->advanceCommit(Now);
-    // More than one message's worth was missing.
+    // The missing entries did not fit into one message.
     if (Follower.Match < this->Log.lastIndex() &&
         Follower.Next <= this->Log.lastIndex())
       this->sendTo(Message.from(), /*FromMatch=*/false);
@@ -164,13 +164,14 @@
   this->finishReads();
 }
 
-void RaftNode::onInstall(const peer::RaftMessage &Message, TimePoint Now) {
+void RaftNode::onInstallSnapshot(const peer::RaftMessage &Message,
+                                 TimePoint Now) {
   if (Message.term() < this->Hard.term())
     return;
   this->Role = RaftRole::Follower;
   this->Leader = Message.from();
-  this->LeaderHeard = Now;
-  this->resetElection(Now);
+  this->LastLeaderContact = Now;
+  this->resetElectionDeadline(Now);
   const peer::Snapshot &Snapshot = Message.install_snapshot().snapshot();
   if (Snapshot.index() > this->Commit) {
     RaftLog Compacted = this->Log;
@@ -187,12 +188,12 @@
     this->Applied = Snapshot.index();
     this->Events.restoreState(Snapshot);
   }
-  peer::RaftMessage Answer = this->messageTo(Message.from());
-  peer::AppendReply *Reply = Answer.mutable_append_reply();
+  peer::RaftMessage ReplyMessage = this->messageTo(Message.from());
+  peer::AppendReply *Reply = ReplyMessage.mutable_append_reply();
   Reply->set_success(true);
   Reply->set_match_index(std::max(Snapshot.index(), this->Commit));
   Reply->set_round(Message.install_snapshot().round());
-  this->Events.send(std::move(Answer));
+  this->Events.send(std::move(ReplyMessage));
 }
 
 void RaftNode::advanceCommit(TimePoint Now) {
@@ -207,7 +208,8 @@
   }
   std::uint64_t Reached = this->quorumValue(std::move(Matches));
   std::optional<std::uint64_t> Term = this->Log.termAt(Reached);
-  // Only an entry of the leader's own term commits by counting.
+  // Only an entry of the leader's own term can be committed by counting
+  // replicas.
   if (Reached <= this->Commit || !Term || *Term != this->Hard.term())
     return;
   this->Commit = Reached;
@@ -230,7 +232,7 @@
 
 void RaftNode::maybeSnapshot() {
   if (this->Applied <
-      this->Log.snapshot().index() + this->Options.SnapshotEvery)
+      this->Log.snapshot().index() + this->Options.EntriesPerSnapshot)
     return;
   peer::Snapshot New;
   New.set_index(this->Applied);
@@ -244,7 +246,7 @@
         New, this->Hard,
         Compacted.slice(Compacted.firstIndex(), Compacted.size()));
   } catch (const Error &) {
-    // The log stays longer; the next entry tries again.
+    // The log is not compacted; the next applied entry retries the snapshot.
     return;
   }
   this->Log = std::move(Compacted);
--- a/membership/member_registry.cpp
+++ b/membership/member_registry.cpp
@@ -11,58 +11,62 @@
   this->Entries.clear();
 }
 
-void MemberRegistry::touch(Entry &Target) {
+void MemberRegistry::bumpVersion(Entry &Target) {
   Target.Member.set_version(++this->Version);
 }
 
-bool MemberRegistry::onHeartbeat(const peer::Heartbeat &Beat, TimePoint Now) {
-  const peer::Member &Told = Beat.member();
-  auto [Found, New] = this->Entries.try_emplace(Told.name());
+bool MemberRegistry::onHeartbeat(const peer::Heartbeat &Request,
+                                 TimePoint Now) {
+  const peer::Member &Reported = Request.member();
+  auto [Found, New] = this->Entries.try_emplace(Reported.name());
   Entry &Target = Found->second;
   std::uint64_t Known = Target.Member.incarnation();
-  // Late words of an older life change nothing.
-  if (!New && Told.incarnation() < Known)
+  // A delayed heartbeat of an earlier incarnation is ignored.
+  if (!New && Reported.incarnation() < Known)
     return false;
-  bool SameLife = !New && Told.incarnation() == Known;
-  // Leaving is final for a life.
-  bool Returns = SameLife && Target.Member.state() == peer::MEMBER_LEAVING &&
-                 Told.state() != peer::MEMBER_LEAVING;
+  bool SameIncarnation = !New && Reported.incarnation() == Known;
+  // An incarnation that is leaving cannot become alive again.
+  bool Rejoins = SameIncarnation &&
+                 Target.Member.state() == peer::MEMBER_LEAVING &&
+                 Reported.state() != peer::MEMBER_LEAVING;
   Target.LastHeard = Now;
-  Target.Revision =
-      SameLife ? std::max(Target.Revision, Beat.revision()) : Beat.revision();
-  Target.TableTerm = Beat.table_term();
-  Target.TableVersion = Beat.table_version();
-  bool Changed = !SameLife || Target.Member.state() != Told.state() ||
-                 !isSameNeeds(Target.Member.room(), Told.room());
-  if (Returns || !Changed)
+  Target.Revision = SameIncarnation
+                        ? std::max(Target.Revision, Request.revision())
+                        : Request.revision();
+  Target.TableTerm = Request.table_term();
+  Target.TableVersion = Request.table_version();
+  bool Changed = !SameIncarnation ||
+                 Target.Member.state() != Reported.state() ||
+                 !isSameNeeds(Target.Member.room(), Reported.room());
+  if (Rejoins || !Changed)
     return false;
-  Target.Member = Told;
-  this->touch(Target);
+  Target.Member = Reported;
+  this->bumpVersion(Target);
   return true;
 }
 
 bool MemberRegistry::tick(TimePoint Now) {
-  bool Any = false;
+  bool AnyLost = false;
   for (auto &[Name, Target] : this->Entries) {
     bool Silent = Now - Target.LastHeard > this->Lease;
     if (!Silent || Target.Member.state() == peer::MEMBER_LOST)
       continue;
     Target.Member.set_state(peer::MEMBER_LOST);
-    this->touch(Target);
-    Any = true;
+    this->bumpVersion(Target);
+    AnyLost = true;
   }
-  return Any;
+  return AnyLost;
 }
 
 peer::MemberUpdate
-MemberRegistry::updateFor(const peer::Heartbeat &Beat) const {
+MemberRegistry::updateFor(const peer::Heartbeat &Request) const {
   peer::MemberUpdate Update;
   Update.set_term(this->Term);
   Update.set_version(this->Version);
-  Update.set_full(Beat.table_term() != this->Term);
-  if (Beat.member().role() == peer::ROLE_AGENT)
+  Update.set_full(Request.table_term() != this->Term);
+  if (Request.member().role() == peer::ROLE_AGENT)
     return Update;
-  std::uint64_t Since = Update.full() ? 0 : Beat.table_version();
+  std::uint64_t Since = Update.full() ? 0 : Request.table_version();
   for (const auto &[Name, Target] : this->Entries)
     if (Target.Member.version() > Since)
       *Update.add_members() = Target.Member;
@@ -70,10 +74,10 @@
 }
 
 peer::MemberUpdate
-MemberRegistry::partialFor(const peer::Heartbeat &Beat) const {
+MemberRegistry::partialFor(const peer::Heartbeat &Request) const {
   peer::MemberUpdate Update;
   Update.set_partial(true);
-  if (Beat.member().role() == peer::ROLE_AGENT)
+  if (Request.member().role() == peer::ROLE_AGENT)
     return Update;
   for (const auto &[Name, Target] : this->Entries)
     *Update.add_members() = Target.Member;
--- a/tests/membership/announcer_test.cpp
+++ b/tests/membership/announcer_test.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-class CountingSink final : public PeerSink {
+class RecordingSink final : public PeerSink {
 public:
   void send(const PeerRef &To, peer::Message) override {
     ++this->Sent;
@@ -19,17 +19,17 @@
   std::string LastTo;
 };
 
-class CountingEvents final : public AnnouncerEvents {
+class RecordingEvents final : public AnnouncerEvents {
 public:
   void onConfirmed(TimePoint Asked) override { this->Confirmed = Asked; }
   void onCatalog(Instant) override { ++this->Catalogs; }
   void onMember(const peer::Member &Member, Instant) override {
     this->Last = Member;
   }
-  void onOutranked(std::uint64_t Known, Instant) override {
-    this->Outranked = Known;
+  void onNewerIncarnation(std::uint64_t Known, Instant) override {
+    this->NewerIncarnation = Known;
   }
-  std::uint64_t Outranked = 0;
+  std::uint64_t NewerIncarnation = 0;
   TimePoint Confirmed = TimePoint::min();
   int Catalogs = 0;
   peer::Member Last;
@@ -38,8 +38,8 @@
 } // namespace
 
 TEST_GROUP(AnnouncerTest) {
-  CountingSink Sink;
-  CountingEvents Events;
+  RecordingSink Sink;
+  RecordingEvents Events;
   NodeCatalog Catalog;
   AnnouncerOptions Options{{{"c1", "c1"}, {"c2", "c2"}}, 1000ms};
   peer::Member Self;
@@ -55,59 +55,59 @@
     Reply.mutable_catalog()->set_revision(Revision);
     return Reply;
   }
-  void pass(std::chrono::milliseconds Time) { Now.Steady += Time; }
+  void advance(std::chrono::milliseconds Time) { Now.Steady += Time; }
 };
 
-// The replica may be well and only its connection silent.
-TEST(AnnouncerTest, AReplicaThatStaysSilentIsGivenAnotherConnectionAndLeft) {
+// The replica may be healthy and only its connection broken.
+TEST(AnnouncerTest, ReconnectsAndAbandonsASilentReplica) {
   Announcer Announce(Options, Self, Catalog, Sink, Events);
   for (int I = 0; I < 12 && Sink.LastTo != "c2"; ++I) {
     STRCMP_EQUAL("", Sink.Reconnected.c_str());
     Announce.tick(Now);
-    pass(250ms);
+    advance(250ms);
   }
   STRCMP_EQUAL("c2", Sink.LastTo.c_str());
   STRCMP_EQUAL("c1", Sink.Reconnected.c_str());
 }
 
-TEST(AnnouncerTest, ConfirmationCountsFromTheQuestion) {
+TEST(AnnouncerTest, AConfirmationCountsFromTheTimeOfTheRequest) {
   Announcer Announce(Options, Self, Catalog, Sink, Events);
   Announce.tick(Now);
   TimePoint Asked = Now.Steady;
-  pass(700ms);
+  advance(700ms);
   Announce.onReply(reply(1, 5), Now);
   CHECK_TRUE(Events.Confirmed == Asked);
 }
 
-// The host's clock may have been set back before this life began.
-TEST(AnnouncerTest, ANodeHearsOfAHigherIncarnationUnderItsName) {
+// The host's clock may have been set back before this process started.
+TEST(AnnouncerTest, ReportsAHigherIncarnationOfThisNode) {
   struct Row {
     std::uint64_t Known;
     std::uint64_t Expected;
   };
   const Row Rows[] = {{0, 0}, {6, 0}, {7, 0}, {8, 8}};
   for (const Row &Row : Rows) {
-    Events.Outranked = 0;
+    Events.NewerIncarnation = 0;
     Announcer Announce(Options, Self, Catalog, Sink, Events);
     Announce.tick(Now);
     peer::HeartbeatReply Reply = reply(1, 5);
     Reply.set_known_incarnation(Row.Known);
     Announce.onReply(Reply, Now);
-    LONGS_EQUAL(Row.Expected, Events.Outranked);
+    LONGS_EQUAL(Row.Expected, Events.NewerIncarnation);
   }
 }
 
-TEST(AnnouncerTest, ALifeBeginsOnlyWithAnAnswerToItsOwnQuestion) {
+TEST(AnnouncerTest, AcceptsAFirstConfigurationOnlyFromAReplyToItsOwnRequest) {
   struct Row {
     const char *Name;
     std::uint64_t Sequence;
     std::uint64_t Incarnation;
     std::uint64_t Expected;
   };
-  const Row Rows[] = {{"an unasked push", 0, 7, 0},
-                      {"an answer to an earlier life", 1, 6, 0},
-                      {"an answer not asked for yet", 9, 7, 0},
-                      {"its own answer", 1, 7, 5}};
+  const Row Rows[] = {{"an unsolicited message", 0, 7, 0},
+                      {"a reply to an earlier incarnation", 1, 6, 0},
+                      {"a reply to a request not sent yet", 9, 7, 0},
+                      {"a reply to its own request", 1, 7, 5}};
   for (const Row &Case : Rows) {
     NodeCatalog Fresh;
     Announcer Announce(Options, Self, Fresh, Sink, Events);
@@ -119,11 +119,11 @@
   }
 }
 
-TEST(AnnouncerTest, ANewerRevisionOfAPeerIsAskedForAtOnceButNotEachTime) {
+TEST(AnnouncerTest, RequestsANewerRevisionOfAPeerAtOnceButOnlyOnce) {
   Announcer Announce(Options, Self, Catalog, Sink, Events);
   Announce.tick(Now);
   Announce.onReply(reply(1, 5), Now);
-  pass(300ms);
+  advance(300ms);
   Announce.noteRevision(5, Now);
   LONGS_EQUAL(1, Sink.Sent);
   Announce.noteRevision(6, Now);
@@ -131,9 +131,10 @@
   LONGS_EQUAL(2, Sink.Sent);
 }
 
-// What control has told a process that was behind may lie there unread, or be
-// old: it asks anew at once, but not with each tick while it stays behind.
-TEST(AnnouncerTest, AfterHavingBeenBehindANodeAsksAtOnce) {
+// If a process has not kept up with its input, replies of control may be unread
+// or outdated. It sends a new request at once, but not on each tick while it
+// stays behind.
+TEST(AnnouncerTest, SendsARequestAtOnceAfterFallingBehind) {
   struct Row {
     const char *Name;
     std::chrono::milliseconds SinceQuestion;
@@ -141,55 +142,55 @@
     int Questions;
   };
   const Row Rows[] = {{"behind until now", 300ms, 0ms, 1},
-                      {"behind after the question", 300ms, 20ms, 1},
-                      {"behind before the question", 300ms, 320ms, 0},
-                      {"asked a moment ago", 100ms, 0ms, 0}};
+                      {"behind after the request", 300ms, 20ms, 1},
+                      {"behind before the request", 300ms, 320ms, 0},
+                      {"request sent a moment ago", 100ms, 0ms, 0}};
   for (const Row &Row : Rows) {
     NodeCatalog Fresh;
     Announcer Announce(Options, Self, Fresh, Sink, Events);
     Announce.tick(Now);
     Announce.onReply(reply(1, 5), Now);
-    // The beat that was due before the first answer.
-    pass(1000ms);
+    // Sends the heartbeat that was scheduled before the first reply.
+    advance(1000ms);
     Announce.tick(Now);
     Announce.onReply(reply(2, 5), Now);
     int Before = Sink.Sent;
-    pass(Row.SinceQuestion);
+    advance(Row.SinceQuestion);
     Announce.tick(Now, {Now.Steady, Now.Steady - Row.BehindAgo});
     LONGS_EQUAL_TEXT(Row.Questions, Sink.Sent - Before, Row.Name);
   }
 }
 
-// Questions that are sent early must not make a replica that is well look
+// Requests sent ahead of schedule must not make a healthy replica count as
 // silent.
-TEST(AnnouncerTest, QuestionsAfterLatenessDoNotHurryTheSearchForAnother) {
+TEST(AnnouncerTest, EarlyRequestsDoNotSpeedUpTheSearch) {
   Announcer Announce(Options, Self, Catalog, Sink, Events);
   Announce.tick(Now);
   Announce.onReply(reply(1, 5), Now);
-  pass(1000ms);
+  advance(1000ms);
   for (int I = 0; I < 7; ++I) {
     Announce.tick(Now, {Now.Steady, Now.Steady});
-    pass(260ms);
+    advance(260ms);
   }
   STRCMP_EQUAL("c1", Sink.LastTo.c_str());
   STRCMP_EQUAL("", Sink.Reconnected.c_str());
   CHECK(Sink.Sent >= 7);
-  pass(1000ms);
+  advance(1000ms);
   Announce.tick(Now, {Now.Steady, Now.Steady});
   STRCMP_EQUAL("c2", Sink.LastTo.c_str());
 }
 
-// The next replica may already be asked when an answer comes that was long
-// under way: what it confirms counts all the same.
-TEST(AnnouncerTest, ALateAnswerStillConfirmsFromItsQuestion) {
+// A delayed reply may arrive when the next replica has already been asked. What
+// it confirms must still count.
+TEST(AnnouncerTest, ADelayedReplyConfirmsFromTheTimeOfItsRequest) {
   Announcer Announce(Options, Self, Catalog, Sink, Events);
   Announce.tick(Now);
   Announce.onReply(reply(1, 5), Now);
-  pass(1000ms);
+  advance(1000ms);
   TimePoint Asked = Now.Steady;
   for (int I = 0; I < 3; ++I) {
     Announce.tick(Now);
-    pass(1000ms);
+    advance(1000ms);
   }
   STRCMP_EQUAL("c2", Sink.LastTo.c_str());
   Announce.onReply(reply(2, 6), Now);
@@ -197,35 +198,37 @@
   LONGS_EQUAL(6, Catalog.revision());
 }
 
-TEST(AnnouncerTest, ASilentReplicaIsLeftForTheNext) {
+TEST(AnnouncerTest, AsksTheNextReplicaAfterSilence) {
   Announcer Announce(Options, Self, Catalog, Sink, Events);
   for (const char *Expected : {"c1", "c1", "c2"}) {
     Announce.tick(Now);
     STRCMP_EQUAL(Expected, Sink.LastTo.c_str());
-    pass(1000ms);
+    advance(1000ms);
   }
 }
 
-// After a restart of everything each heartbeat that is saved is an outage.
-TEST(AnnouncerTest, UntilItsLifeHasBegunANodeAsksMoreOften) {
+// After a restart of the whole deployment, each saved heartbeat would prolong
+// the outage.
+TEST(AnnouncerTest, ANodeWithoutConfigurationSendsMoreHeartbeats) {
   Announcer Announce(Options, Self, Catalog, Sink, Events);
   Announce.tick(Now);
-  pass(250ms);
+  advance(250ms);
   Announce.tick(Now);
   LONGS_EQUAL(2, Sink.Sent);
   Announce.onReply(reply(2, 5), Now);
-  // The beat that was due already still goes out; then the interval is whole.
+  // The heartbeat that is already scheduled is still sent; then the full
+  // interval applies.
   for (int I = 0; I < 4; ++I) {
-    pass(250ms);
+    advance(250ms);
     Announce.tick(Now);
   }
   LONGS_EQUAL(3, Sink.Sent);
-  pass(250ms);
+  advance(250ms);
   Announce.tick(Now);
   LONGS_EQUAL(4, Sink.Sent);
 }
 
-TEST(AnnouncerTest, AFullTableDropsWhoIsMissing) {
+TEST(AnnouncerTest, AFullTableMarksMissingMembersLost) {
   Announcer Announce(Options, Self, Catalog, Sink, Events);
   Announce.tick(Now);
   peer::HeartbeatReply Reply = reply(1, 5);
@@ -233,7 +236,7 @@
   Reply.mutable_members()->set_full(true);
   Reply.mutable_members()->add_members()->set_name("a1");
   Announce.onReply(Reply, Now);
-  pass(1000ms);
+  advance(1000ms);
   Announce.tick(Now);
   Reply = reply(2, 6);
   Reply.mutable_members()->set_term(2);
@@ -243,7 +246,7 @@
   LONGS_EQUAL(peer::MEMBER_LOST, Events.Last.state());
 }
 
-TEST(AnnouncerTest, MembersOfAnUnsettledTableAreTakenButDropNobody) {
+TEST(AnnouncerTest, AnUnsettledTableAddsMembersButMarksNoneLost) {
   Announcer Announce(Options, Self, Catalog, Sink, Events);
   Announce.tick(Now);
   peer::HeartbeatReply Whole = reply(1, 5);
@@ -252,7 +255,7 @@
   Whole.mutable_members()->set_full(true);
   Whole.mutable_members()->add_members()->set_name("kept");
   Announce.onReply(Whole, Now);
-  pass(1000ms);
+  advance(1000ms);
   Announce.tick(Now);
   peer::HeartbeatReply Partial = reply(2, 5);
   Partial.mutable_members()->set_partial(true);
--- a/tests/membership/leaving_test.cpp
+++ b/tests/membership/leaving_test.cpp
@@ -1,5 +1,4 @@
-//===- No new work to an upstream that leaves, whichever way it leaves
-//-------===//
+//===- No dispatches to an upstream after it leaves -----------------------===//
 
 #include "emulator/virtual_cluster.h"
 
@@ -11,44 +10,47 @@
 
 namespace {
 
-/// The bound that operators are told, in virtual time.
-constexpr Duration Bound = 4s;
+/// The limit that is documented for operators, in virtual time.
+constexpr Duration MaxDispatchDelay = 4s;
 
-void drain(VirtualCluster &Cluster) {
+void drainAgent(VirtualCluster &Cluster) {
   Cluster.agent("a3").drain(Cluster.World.now());
 }
-void killIt(VirtualCluster &Cluster) { Cluster.kill("a3"); }
-void freezeIt(VirtualCluster &Cluster) { Cluster.World.freeze("a3"); }
-void cutFromAll(VirtualCluster &Cluster) { Cluster.World.isolate("a3"); }
-void cutFromControl(VirtualCluster &Cluster) {
+void killAgent(VirtualCluster &Cluster) { Cluster.kill("a3"); }
+void freezeAgent(VirtualCluster &Cluster) { Cluster.World.freeze("a3"); }
+void isolateAgent(VirtualCluster &Cluster) { Cluster.World.isolate("a3"); }
+void disconnectFromControl(VirtualCluster &Cluster) {
   for (const char *Replica : {"c1", "c2", "c3"})
     Cluster.World.cut("a3", Replica);
 }
-void cutFromOneEntry(VirtualCluster &Cluster) { Cluster.World.cut("a3", "e1"); }
+void disconnectFromOneEntry(VirtualCluster &Cluster) {
+  Cluster.World.cut("a3", "e1");
+}
 
-struct Way {
+struct Departure {
   const char *Name;
   void (*Leave)(VirtualCluster &Cluster);
-  /// Whether every entry must stop sending to it, or only e1.
+  /// Whether all entries must stop dispatching to it, or only e1.
   bool AllEntries;
 };
 
-const Way Ways[] = {
-    {"asked to", drain, true},
-    {"killed", killIt, true},
-    {"frozen", freezeIt, true},
-    {"cut off", cutFromAll, true},
-    {"cut off from control", cutFromControl, true},
-    {"cut off from one entry", cutFromOneEntry, false},
+const Departure Departures[] = {
+    {"drained", drainAgent, true},
+    {"killed", killAgent, true},
+    {"frozen", freezeAgent, true},
+    {"isolated", isolateAgent, true},
+    {"disconnected from control", disconnectFromControl, true},
+    {"disconnected from one entry", disconnectFromOneEntry, false},
 };
 
-/// Submits jobs for a while; counts dispatches that are sent to a3 later
-/// than the bound after it left.
-std::size_t lateDispatches(const Way &Case, Duration After) {
+/// Submits jobs before and after agent a3 leaves.
+/// \returns the number of dispatches sent to a3 later than \p After its
+/// departure.
+std::size_t lateDispatches(const Departure &Case, Duration After) {
   ClusterOptions Options;
   Options.Seed = 61;
-  // Many slots, so that tasks stuck there do not alone keep others away, and
-  // jobs large enough to use them.
+  // Enough slots that tasks stuck on a3 do not by themselves prevent further
+  // dispatches, and jobs large enough to use the slots.
   Options.Slots = 16;
   Options.Controls = 3;
   Options.Agents = 5;
@@ -86,20 +88,20 @@
 
 TEST_GROUP(LeavingTest){};
 
-TEST(LeavingTest, NothingIsSentAfterTheBound) {
-  for (const Way &Case : Ways) {
-    LONGS_EQUAL_TEXT(0, lateDispatches(Case, Bound), Case.Name);
+TEST(LeavingTest, NothingIsDispatchedAfterTheLimit) {
+  for (const Departure &Case : Departures) {
+    LONGS_EQUAL_TEXT(0, lateDispatches(Case, MaxDispatchDelay), Case.Name);
   }
 }
 
-TEST(LeavingTest, TheCountSeesDispatchesBeforeTheBound) {
-  // All but the asked one are found out by silence, which takes a while.
-  for (const Way &Case : Ways)
-    if (Case.Leave != drain)
+TEST(LeavingTest, TheCountIncludesDispatchesBeforeTheLimit) {
+  // All departures except a drain are detected by silence, which takes a while.
+  for (const Departure &Case : Departures)
+    if (Case.Leave != drainAgent)
       CHECK_TRUE_TEXT(lateDispatches(Case, 0s) > 0, Case.Name);
 }
 
-TEST(LeavingTest, AWokenAgentStartsNothingOfWhatItMissed) {
+TEST(LeavingTest, AThawedAgentStartsNoOldDispatches) {
   for (bool Fence : {false, true}) {
     ClusterOptions Options;
     Options.Seed = 63;
@@ -117,7 +119,7 @@
   }
 }
 
-TEST(LeavingTest, ALeavingAgentFinishesWhatRunsAndGivesTheRestBack) {
+TEST(LeavingTest, ADrainingAgentFinishesRunningTasksAndReturnsTheRest) {
   ClusterOptions Options;
   Options.Seed = 65;
   Options.Agents = 4;
