--- a/entry/lease_coordinator.cpp
+++ b/entry/lease_coordinator.cpp
@@ -46,7 +46,7 @@
   bool IsLost = Lost && !this->Workers.find(Member.name())->Alive;
   if (IsLost)
     this->giveUpAgentTasks(Member.name(), /*OnlyOldIncarnations=*/false,
-                           "control reported it lost", Now);
+                           "control lost it", Now);
   else if (Replaced)
     this->onRestarted(Member.name(), Now);
 }
@@ -177,7 +177,7 @@
                  {LeasedEnd::Unknown,
                   "start",
                   Agent,
-                  "a run of an earlier submission has not ended",
+                  "a run of an earlier hand-in has not ended",
                   {}},
                  Now);
     return;
--- a/entry/lease_coordinator_intake.cpp
+++ b/entry/lease_coordinator_intake.cpp
@@ -122,9 +122,9 @@
                       {"limit_percent", static_cast<int>(Limit * Percent)},
                       {"tasks", Request.TaskCount}});
   LeasedEnd End = MayHaveRun ? LeasedEnd::Unknown : LeasedEnd::NotRun;
-  this->Answers.onLeasedAnswer(
-      Waiter, {End, "admit", "", "upstreams have too little free capacity",
-               this->Options.RetryAfter});
+  this->Answers.onLeasedAnswer(Waiter,
+                               {End, "admit", "", "upstreams are short of room",
+                                this->Options.RetryAfter});
   return true;
 }
 
--- a/entry/lease_coordinator_placement.cpp
+++ b/entry/lease_coordinator_placement.cpp
@@ -22,10 +22,9 @@
   };
   if (!this->isCatchingUp(Now) || std::ranges::any_of(Target.Callers, IsThere))
     return false;
-  this->giveUp(
-      Target,
-      {LeasedEnd::Unknown, "cancel", "", "the caller has disconnected", {}},
-      Now);
+  this->giveUp(Target,
+               {LeasedEnd::Unknown, "cancel", "", "the caller has gone", {}},
+               Now);
   return true;
 }
 
@@ -60,7 +59,7 @@
       this->settle(Target, Target.Tasks[Order.index()], TaskPhase::Over);
   this->giveUp(Target,
                {LeasedEnd::NotRun, "place", "",
-                "no worker can accept the task now", this->Options.RetryAfter},
+                "no worker may take the task now", this->Options.RetryAfter},
                Now);
 }
 
--- a/entry/lease_coordinator_watch.cpp
+++ b/entry/lease_coordinator_watch.cpp
@@ -62,7 +62,7 @@
   }
   this->Workers.setSilent(Lost.To.Node);
   this->giveUpAgentTasks(Lost.To.Node, /*OnlyOldIncarnations=*/false,
-                         "messages to it were undelivered twice in a row", Now);
+                         "messages to it did not arrive, twice", Now);
 }
 
 void LeaseCoordinator::resend(const LeasedWorker &Worker,
@@ -209,7 +209,7 @@
       End.set_attempt(JobTask.Attempt);
       End.set_order(JobTask.Order);
       End.set_event(peer::LEASED_ENDED_EARLY);
-      End.set_reason("its agent no longer holds it");
+      End.set_reason("its agent no longer lists it");
     }
   }
   for (const peer::LeasedUpdate &End : Lost)
@@ -312,17 +312,16 @@
     this->Sink.reconnect(Agent);
   for (const std::string &Agent : Restarted)
     this->giveUpAgentTasks(Agent, /*OnlyOldIncarnations=*/true,
-                           "the agent has restarted", Now);
+                           "it has restarted", Now);
   for (const std::string &Agent : Lost) {
     this->Workers.setLost(Agent);
-    this->giveUpAgentTasks(
-        Agent, /*OnlyOldIncarnations=*/false,
-        "control reported it lost and it is unreachable from this entry", Now);
+    this->giveUpAgentTasks(Agent, /*OnlyOldIncarnations=*/false,
+                           "control lost it and it is silent here", Now);
   }
   for (const std::string &Agent : Unresponsive) {
     this->Workers.setSilent(Agent);
     this->giveUpAgentTasks(Agent, /*OnlyOldIncarnations=*/false,
-                           "it left lease renewals unanswered", Now);
+                           "it left renewals unanswered", Now);
   }
 }
 
@@ -441,7 +440,7 @@
       Due.push_back(Id);
     if (Known->NextSubmission &&
         Now.Steady >= lastDeadline(Known->NextSubmission->Callers))
-      this->dropResubmission(*Known, "an earlier submission has not ended yet");
+      this->dropResubmission(*Known, "an earlier hand-in has not ended yet");
   }
   for (const std::string &Id : Due) {
     Job &Target = *this->Jobs[Id];
--- a/tests/entry/joined_callers_test.cpp
+++ b/tests/entry/joined_callers_test.cpp
@@ -43,7 +43,7 @@
     this->runUntil(Begin + Row.NewerAfter);
     Coordinator.submit(Newer, 2, Now);
     if (Row.NewerLeaves)
-      Coordinator.withdraw("j", 2, "the caller has disconnected", Now);
+      Coordinator.withdraw("j", 2, "the caller has gone", Now);
     LONGS_EQUAL_TEXT(0, Sink.Stops.size(), Row.Name);
     this->runUntil(Begin + 1600ms);
     CHECK_TEXT(Row.IsStopped == !Sink.Stops.empty(), Row.Name);
