--- a/dispatch/fair_queue.cpp
+++ b/dispatch/fair_queue.cpp
@@ -10,14 +10,14 @@
 
 template <typename Edit>
 void FairQueue::modify(const std::string &Workspace, Edit Change) {
-  auto Place = this->Queues.try_emplace(Workspace).first;
-  WorkspaceQueue &Target = Place->second;
+  auto Found = this->Queues.try_emplace(Workspace).first;
+  WorkspaceQueue &Target = Found->second;
   // The sort key must not change while the queue is in the set.
   if (isReady(Target))
-    this->ReadyQueues.erase(&*Place);
+    this->ReadyQueues.erase(&*Found);
   Change(Target);
   if (isReady(Target))
-    this->ReadyQueues.insert(&*Place);
+    this->ReadyQueues.insert(&*Found);
 }
 
 void FairQueue::configure(const std::string &Workspace, std::uint32_t Weight,
--- a/dispatch/packed_placement.cpp
+++ b/dispatch/packed_placement.cpp
@@ -11,8 +11,8 @@
 /// Returns an element of the list, selected at random.
 std::size_t pick(const std::vector<std::size_t> &From,
                  std::mt19937_64 &Random) {
-  std::uniform_int_distribution<std::size_t> Place(0, From.size() - 1);
-  return From[Place(Random)];
+  std::uniform_int_distribution<std::size_t> Position(0, From.size() - 1);
+  return From[Position(Random)];
 }
 
 } // namespace
@@ -37,16 +37,16 @@
 
 bool PackedPlacement::fillLargest(ShareCounter &Counter, std::size_t Targets,
                                   std::mt19937_64 &Random) {
-  std::uint32_t Most = 0;
+  std::uint32_t MaxStarting = 0;
   for (std::size_t I = 0; I < Targets; ++I)
-    Most = std::max(Most, Counter.tasksSureToStart(I));
-  if (Most == 0)
+    MaxStarting = std::max(MaxStarting, Counter.tasksSureToStart(I));
+  if (MaxStarting == 0)
     return false;
   std::vector<std::size_t> Largest;
   for (std::size_t I = 0; I < Targets; ++I)
-    if (Counter.tasksSureToStart(I) == Most)
+    if (Counter.tasksSureToStart(I) == MaxStarting)
       Largest.push_back(I);
-  Counter.assign(pick(Largest, Random), Most);
+  Counter.assign(pick(Largest, Random), MaxStarting);
   return true;
 }
 
--- a/dispatch/upstream_table.cpp
+++ b/dispatch/upstream_table.cpp
@@ -193,9 +193,9 @@
 
 void UpstreamTable::reindex(UpstreamIndex Index) {
   const Upstream &Target = this->Upstreams[Index];
-  bool CanGetWork = this->isEligible(Target);
-  this->setEligible(Index, CanGetWork);
-  if (!CanGetWork) {
+  bool IsEligible = this->isEligible(Target);
+  this->setEligible(Index, IsEligible);
+  if (!IsEligible) {
     this->ByOwnFree.remove(Index);
     this->ByTotalFree.remove(Index);
     this->ByQueueRoom.remove(Index);
@@ -209,11 +209,11 @@
   this->ByQueueRoom.put(Index, QueueRoomRange + Slots - Load);
 }
 
-void UpstreamTable::setEligible(UpstreamIndex Index, bool CanGetWork) {
+void UpstreamTable::setEligible(UpstreamIndex Index, bool IsEligible) {
   std::size_t &Place = this->EligiblePosition[Index];
-  if (CanGetWork == (Place != NotEligible))
+  if (IsEligible == (Place != NotEligible))
     return;
-  if (CanGetWork) {
+  if (IsEligible) {
     Place = this->Eligible.size();
     this->Eligible.push_back(Index);
     return;
--- a/dispatch/upstream_table.h
+++ b/dispatch/upstream_table.h
@@ -114,7 +114,7 @@
 private:
   bool isEligible(const Upstream &Target) const;
   void reindex(UpstreamIndex Index);
-  void setEligible(UpstreamIndex Index, bool CanGetWork);
+  void setEligible(UpstreamIndex Index, bool IsEligible);
   bool mayEjectOneMore() const;
   void assignShare(Upstream &Target) const;
 
--- a/entry/crash_record.h
+++ b/entry/crash_record.h
@@ -32,18 +32,18 @@
   /// As many workers were lost while running the task as may crash with it. It
   /// isn't known yet whether all of them crashed, so the task isn't placed.
   OnHold,
-  /// As many workers as allowed have crashed; the task is abandoned.
+  /// Too many workers have crashed while running the task; it is abandoned.
   Abandoned,
 };
 
 struct CrashRecordOptions {
-  /// Number of crashed workers on which the task was the last one started after
-  /// which it is abandoned: the tasks started before it had not crashed the
-  /// worker until then.
+  /// A task is abandoned after this many crashes of workers on which it was the
+  /// last task started: the tasks started before it had not crashed the worker
+  /// until then.
   std::size_t MaxCrashesStartedLast = 2;
-  /// Number of workers that crashed while running the task after which it is
-  /// abandoned, whether or not it was started last. A task that twice merely
-  /// ran beside the cause is placed once more.
+  /// A task is abandoned after this many crashes of workers that were running
+  /// it, whether or not it was started last. A task that merely ran beside the
+  /// cause twice is placed once more.
   std::size_t MaxCrashesAnyTask = 3;
   /// How long a task is remembered: longer than any job's deadline (17 s).
   std::chrono::milliseconds Retention{30000};
--- a/entry/lease_coordinator_intake.cpp
+++ b/entry/lease_coordinator_intake.cpp
@@ -104,7 +104,7 @@
   double CoreMilliseconds =
       static_cast<double>(Request.Needs.cpu_milli()) * Request.TaskCount *
       static_cast<double>(Request.Estimate.count()) / 1000;
-  this->Shedder.onOffered(Request.Route, CoreMilliseconds, Now.Steady);
+  this->Shedder.onJobSubmitted(Request.Route, CoreMilliseconds, Now.Steady);
   double Pressure =
       this->Workers.pressure(Request, this->awaitingCpu(), Now.Steady);
   this->Shedder.onPressure(Pressure, Now.Steady);
--- a/entry/load_shedder.cpp
+++ b/entry/load_shedder.cpp
@@ -11,20 +11,20 @@
   return Known.CoreMilliseconds * std::exp(-Age / Window);
 }
 
-void LoadShedder::onOffered(const std::string &Route, double CoreMilliseconds,
-                            TimePoint Now) {
+void LoadShedder::onJobSubmitted(const std::string &Route,
+                                 double CoreMilliseconds, TimePoint Now) {
   RouteLoad &Known = this->Routes[Route];
   Known.CoreMilliseconds = this->loadOf(Known, Now) + CoreMilliseconds;
   Known.Updated = Now;
 }
 
 void LoadShedder::onPressure(double Pressure, TimePoint Now) {
-  std::chrono::duration<double> Age = Now - this->PressureSeen;
+  std::chrono::duration<double> Age = Now - this->LastPressureSample;
   std::chrono::duration<double> Window = this->Options.PressureWindow;
   double Weight = std::exp(-Age / Window);
   this->AveragePressure =
       Weight * this->AveragePressure + (1 - Weight) * Pressure;
-  this->PressureSeen = Now;
+  this->LastPressureSample = Now;
 }
 
 double LoadShedder::busiestRouteLimit() const {
--- a/entry/load_shedder.h
+++ b/entry/load_shedder.h
@@ -46,8 +46,8 @@
 
   /// Records a submitted job of a route. \param CoreMilliseconds Its work, as
   /// processor time.
-  void onOffered(const std::string &Route, double CoreMilliseconds,
-                 TimePoint Now);
+  void onJobSubmitted(const std::string &Route, double CoreMilliseconds,
+                      TimePoint Now);
 
   /// Records a sample of the ratio of used to total capacity.
   void onPressure(double Pressure, TimePoint Now);
@@ -68,7 +68,7 @@
 
   ShedderOptions Options;
   double AveragePressure = 0;
-  TimePoint PressureSeen;
+  TimePoint LastPressureSample;
   std::map<std::string, RouteLoad> Routes;
 };
 
--- a/entry/self_load.h
+++ b/entry/self_load.h
@@ -32,8 +32,8 @@
   /// is soon overloaded again.
   std::chrono::milliseconds MinPause{2000};
   std::chrono::milliseconds MaxPause{8000};
-  /// How long after this process was behind it may still read requests that
-  /// waited until their callers left.
+  /// For this long after the process was behind, it may still read requests
+  /// that waited until their callers left.
   std::chrono::milliseconds LateReadPeriod{3000};
 };
 
--- a/entry/worker_table.cpp
+++ b/entry/worker_table.cpp
@@ -261,9 +261,10 @@
 }
 
 double WorkerTable::pressure(const LeasedJobRequest &Job,
-                             std::uint64_t WaitingMilli, TimePoint Now) const {
+                             std::uint64_t WaitingMilliCores,
+                             TimePoint Now) const {
   const LoadForecast *PoolForecast = this->forecastFor(Job.Pool);
-  auto Load = static_cast<double>(WaitingMilli);
+  auto Load = static_cast<double>(WaitingMilliCores);
   double Capacity = 0;
   for (const auto &[Name, Worker] : this->Workers) {
     if (!this->canTake(Worker, Job, Now))
--- a/entry/worker_table.h
+++ b/entry/worker_table.h
@@ -147,9 +147,9 @@
   bool hasReachable() const;
 
   /// Returns the ratio of used to total processor time over all workers that
-  /// are eligible for the job; 0 if there are none. \param WaitingMilli Demand
-  /// of the tasks that wait at this entry, in thousandths of a core.
-  double pressure(const LeasedJobRequest &Job, std::uint64_t WaitingMilli,
+  /// are eligible for the job; 0 if there are none. \param WaitingMilliCores
+  /// Demand of the tasks that wait at this entry, in thousandths of a core.
+  double pressure(const LeasedJobRequest &Job, std::uint64_t WaitingMilliCores,
                   TimePoint Now) const;
 
   LeasedWorker *find(const std::string &Agent);
--- a/tests/entry/load_shedder_test.cpp
+++ b/tests/entry/load_shedder_test.cpp
@@ -31,7 +31,7 @@
                       {0.8, 10000ms, 1.29, 1.31}};
   for (const Row &Row : Rows) {
     hold(Row.Pressure, Row.Time);
-    Shedder.onOffered("r", 100, Now);
+    Shedder.onJobSubmitted("r", 100, Now);
     CHECK(Shedder.limitFor("r", Now) > Row.MinLimit);
     CHECK(Shedder.limitFor("r", Now) < Row.MaxLimit);
   }
@@ -42,6 +42,6 @@
   Options.SustainedLimit = 1;
   Shedder = LoadShedder(Options);
   hold(2, 10000ms);
-  Shedder.onOffered("r", 100, Now);
+  Shedder.onJobSubmitted("r", 100, Now);
   DOUBLES_EQUAL(Options.BusiestRouteLimit, Shedder.limitFor("r", Now), 0.001);
 }
