--- a/entry/answer_path.cpp
+++ b/entry/answer_path.cpp
@@ -47,20 +47,20 @@
   switch (Failure.kind()) {
   case peer::FAILURE_LIMIT:
   case peer::FAILURE_UNAVAILABLE:
-    return "retry with the same id after retry_after_ms";
+    return "send it again with the same id after retry_after_ms";
   case peer::FAILURE_NEVER_FITS:
   case peer::FAILURE_IN_FUTURE:
   case peer::FAILURE_CONFLICT:
-    return "correct the request; resubmitting it unchanged will fail again";
+    return "correct the request; as it is, it will never be taken";
   case peer::FAILURE_NOT_FOUND:
     return "check the workspace and the id";
   default:
     break;
   }
   if (Failure.ran() == peer::RAN_NOT_RUN)
-    return "nothing ran; the job may be submitted again under a new id";
-  return "check what ran before submitting unrepeatable work under a new id; "
-         "repeatable work may be submitted under a new id";
+    return "nothing ran; it may be sent again under a new id";
+  return "never send unrepeatable work again under a new id before checking "
+         "what ran; repeatable work may be sent under a new id";
 }
 
 } // namespace
@@ -112,9 +112,8 @@
   Failure->set_reason(Rejected.Reason);
   Failure->set_task(-1);
   Failure->set_advice(
-      IsUnavailable
-          ? "retry with the same id after retry_after_ms"
-          : "correct the request; resubmitting it unchanged will fail again");
+      IsUnavailable ? "send it again with the same id after retry_after_ms"
+                    : "correct the request; as it is, it will never be taken");
   Failure->set_retry_after_ms(
       static_cast<std::uint32_t>(Rejected.RetryAfter.count()));
   HttpAnswer Answer;
--- a/entry/entry_http.cpp
+++ b/entry/entry_http.cpp
@@ -128,10 +128,10 @@
   }
   bool IsKnownWorkspace = View->findWorkspace(Workspace) != nullptr;
   if (!IsKnownWorkspace || !isPlainKey(Id)) {
-    Reply->send(
-        answerFor(Workspace, {HttpStatus::NotFound, "validate",
-                              IsKnownWorkspace ? "id: not a valid job id"
-                                               : "workspace: not found"}));
+    Reply->send(answerFor(
+        Workspace,
+        {HttpStatus::NotFound, "validate",
+         IsKnownWorkspace ? "id: not an id" : "workspace: not found"}));
     return;
   }
   Ticket Number = ++this->LastTicket;
@@ -176,7 +176,7 @@
                    Outcome->failure().step(), Outcome->failure().peer(),
                    Outcome->failure().reason());
   else
-    this->Log.debug("Job {}/{} answered.", Ended.Workspace, Ended.Id);
+    this->Log.debug("Job {}/{} is answered.", Ended.Workspace, Ended.Id);
   Ended.Reply->send(answerFor(Ended.Workspace, Ended.Id, Outcome));
 }
 
--- a/entry/job_runner.cpp
+++ b/entry/job_runner.cpp
@@ -67,16 +67,15 @@
     if (TargetPool.Upstreams.fitsSomewhere(Target.Request.Tasks[I].Needs))
       continue;
     Refusal.Kind = peer::FAILURE_NEVER_FITS;
-    Refusal.Reason = "no worker of the pool is large enough, even when idle";
+    Refusal.Reason = "no worker of the pool is large enough, even when empty";
     Refusal.Task = static_cast<int>(I);
     return Refusal;
   }
   std::size_t Waiting = TargetPool.Queue.waiting(Target.Request.Workspace);
   if (Waiting + Count > Target.Limits.queue_limit()) {
     Refusal.Kind = peer::FAILURE_LIMIT;
-    Refusal.Reason =
-        fmt::format("{} tasks are already waiting; queue_limit is {}", Waiting,
-                    Target.Limits.queue_limit());
+    Refusal.Reason = fmt::format("{} tasks wait already, queue_limit is {}",
+                                 Waiting, Target.Limits.queue_limit());
     Refusal.RetryAfter = estimateWait(TargetPool);
   }
   return Refusal;
@@ -398,7 +397,7 @@
     Failure.Kind = peer::FAILURE_UNAVAILABLE;
     Failure.Step = "dispatch";
     Failure.Reason =
-        fmt::format("retry budget exhausted; last refusal: {}", Reason);
+        fmt::format("retry budget spent; last refusal: {}", Reason);
     Failure.Task = static_cast<int>(Index);
     Failure.RetryAfter = estimateWait(TargetPool);
     this->fail(Owner, Failure, Now);
--- a/entry/job_service.cpp
+++ b/entry/job_service.cpp
@@ -180,8 +180,7 @@
                                                       Instant Now) const {
   peer::Ran Ran = Request.ranBeforeClaim();
   if (this->Draining)
-    return unavailable("admit", "the entry is shutting down; use another entry",
-                       Ran);
+    return unavailable("admit", "the entry is stopping; use another", Ran);
   if (!this->isConfirmed(Now.Steady))
     return unavailable("admit", "control has not confirmed the configuration",
                        Ran);
--- a/entry/job_service_peers.cpp
+++ b/entry/job_service_peers.cpp
@@ -191,7 +191,7 @@
     Failure.Reason = "the id was submitted before with other content";
   } else {
     Failure.Kind = peer::FAILURE_PEER_LOST;
-    Failure.Reason = "the entry that owned the job has no record of it";
+    Failure.Reason = "the entry that owned the job no longer knows it";
     Failure.RetryAfter = std::chrono::seconds(1);
   }
   peer::JobOutcome Outcome = failureOutcome(Failure);
--- a/entry/request_path.cpp
+++ b/entry/request_path.cpp
@@ -121,7 +121,7 @@
   if (View.Revision > 0)
     return std::nullopt;
   return Rejection{HttpStatus::Unavailable, "validate",
-                   "this entry has not received its configuration yet",
+                   "this entry has not heard of its configuration yet",
                    UnconfiguredRetryDelay};
 }
 
