--- a/agent/agent_core.cpp
+++ b/agent/agent_core.cpp
@@ -245,8 +245,7 @@
     this->refuse(Key, From, Asked.attempt(), Withdrawn, Now);
   else
     this->sendEvent(Key, From, Asked.attempt(), peer::TASK_CANNOT_KNOW,
-                    "the task was sent too long ago to tell whether it started",
-                    Now);
+                    "the task was sent too long ago to know", Now);
 }
 
 void AgentCore::repeatState(const TaskKey &Key, const PeerRef &To,
--- a/agent/lease_keeper.cpp
+++ b/agent/lease_keeper.cpp
@@ -43,7 +43,7 @@
 
 void LeaseKeeper::leaveIfDraining(Instant Now) {
   if (this->Session.profile().Draining && !this->Leaving)
-    this->leave("the worker is draining", Now);
+    this->leave("the worker drains", Now);
 }
 
 void LeaseKeeper::onWorkerAttached(Instant Now) {
@@ -163,8 +163,7 @@
                  Known->second.Owner.Node == From.Node &&
                  Known->second.Order == Order.order();
     if (Waits)
-      this->dropTask(Id, peer::REFUSAL_BUSY, "the task would have to wait",
-                     Now);
+      this->dropTask(Id, peer::REFUSAL_BUSY, "it would have to wait", Now);
   }
 }
 
--- a/agent/lease_keeper_ends.cpp
+++ b/agent/lease_keeper_ends.cpp
@@ -210,13 +210,12 @@
   std::vector<TaskId> Waiting = this->Queue;
   for (const TaskId &Id : Waiting)
     if (!holdsNeeds(Room, this->Tasks.at(Id).Needs))
-      this->dropTask(Id, peer::REFUSAL_BUSY,
-                     "the task exceeds the worker's room", Now);
+      this->dropTask(Id, peer::REFUSAL_BUSY, "it is larger than the room", Now);
 }
 
 void LeaseKeeper::shutDown(Instant Now) {
   this->ShuttingDown = true;
-  this->leave("the agent is shutting down", Now);
+  this->leave("the agent shuts down", Now);
 }
 
 // ---- Updates sent to entries ----
--- a/agent/lease_keeper_leases.cpp
+++ b/agent/lease_keeper_leases.cpp
@@ -24,8 +24,7 @@
   // The new incarnation of the entry does not know these tasks, and their
   // callers have them run elsewhere.
   for (const TaskId &Id : Orphaned)
-    this->dropTask(Id, peer::REFUSAL_STALE, "the task's entry has restarted",
-                   Now);
+    this->dropTask(Id, peer::REFUSAL_STALE, "its entry has restarted", Now);
 }
 
 std::chrono::milliseconds LeaseKeeper::leaseFrom(std::uint64_t Stamp,
@@ -95,8 +94,7 @@
                         {"entry_heard", this->EntryLeaseEnds.contains(Entry)},
                         {"tasks", Concerned.size()}});
     for (const TaskId &Id : Concerned)
-      this->dropTask(Id, peer::REFUSAL_STALE, "the task's lease has lapsed",
-                     Now);
+      this->dropTask(Id, peer::REFUSAL_STALE, "its entry's lease lapsed", Now);
   }
 }
 
@@ -106,8 +104,8 @@
     if (Now.Steady >= this->Tasks.at(Id).GiveUpAt)
       Late.push_back(Id);
   for (const TaskId &Id : Late)
-    this->dropTask(Id, peer::REFUSAL_TOO_LATE,
-                   "the task could not start in time", Now);
+    this->dropTask(Id, peer::REFUSAL_TOO_LATE, "it could not start in time",
+                   Now);
 }
 
 void LeaseKeeper::sweep(Instant Now) {
--- a/agent/upstream_client.cpp
+++ b/agent/upstream_client.cpp
@@ -56,9 +56,7 @@
 void UpstreamClient::begin(std::shared_ptr<Transfer> Next) {
   CURL *Handle = curl_easy_init();
   if (Handle == nullptr) {
-    this->OnEnd(
-        Next->Task,
-        {TaskEndKind::NeverStarted, "", "libcurl cannot create a handle", {}});
+    this->OnEnd(Next->Task, {TaskEndKind::NeverStarted, "", "no handle", {}});
     return;
   }
   Next->Started = BootClock::now();
