--- a/consensus/record_file.cpp
+++ b/consensus/record_file.cpp
@@ -161,7 +161,7 @@
 void RecordFile::requireUsable() const {
   if (this->Unusable)
     throw Error("storage", this->Path,
-                "an earlier write or sync failed; restart the process");
+                "an earlier failure left its end unknown; restart");
 }
 
 void RecordFile::append(const std::vector<std::string> &Contents) {
