--- a/consensus/record_file.cpp
+++ b/consensus/record_file.cpp
@@ -62,7 +62,7 @@
   throw Error("storage", Path, fmt::format("{}: {}", What, strerror(errno)));
 }
 
-[[noreturn]] void throwDamaged(const std::string &Path, std::uint64_t Offset) {
+[[noreturn]] void throwCorrupt(const std::string &Path, std::uint64_t Offset) {
   throw Error("storage", Path,
               fmt::format("record at offset {} is corrupt; replace the replica "
                           "under a new name",
@@ -129,22 +129,22 @@
       break;
     const char *Header = Data.data() + Offset;
     std::uint32_t Length = getNumber(Header);
-    bool HeaderGood =
+    bool HeaderValid =
         getNumber(Header + LengthBytes) == checksum(Header, LengthBytes);
-    bool HeaderTorn = isAllZero(Data, Offset + HeaderBytes);
-    if (!HeaderGood && HeaderTorn)
+    bool HeaderIncomplete = isAllZero(Data, Offset + HeaderBytes);
+    if (!HeaderValid && HeaderIncomplete)
       break;
-    if (!HeaderGood || Length > MaxRecordBytes)
-      throwDamaged(this->Path, Offset);
+    if (!HeaderValid || Length > MaxRecordBytes)
+      throwCorrupt(this->Path, Offset);
     std::uint64_t RecordSize = HeaderBytes + Length + 1;
     if (Left < RecordSize || isAllZero(Data, Offset + RecordSize - 1))
       break;
     const char *Content = Header + HeaderBytes;
-    bool ContentGood =
+    bool ContentValid =
         getNumber(Header + 2 * LengthBytes) == checksum(Content, Length) &&
         Content[Length] == EndMark;
-    if (!ContentGood)
-      throwDamaged(this->Path, Offset);
+    if (!ContentValid)
+      throwCorrupt(this->Path, Offset);
     Records.emplace_back(Content, Length);
     Offset += RecordSize;
   }
--- a/membership/control_search.cpp
+++ b/membership/control_search.cpp
@@ -187,7 +187,7 @@
 }
 
 void ControlSearch::onUnsolicitedReply(TimePoint Now) {
-  // There is a leader, so all earlier evidence against one is discarded.
+  // There is a leader, so earlier refusals and missing replies no longer count.
   this->SilenceCountsSince = Now;
   for (Replica &Known : this->Replicas)
     Known.LastRefused = TimePoint::min();
--- a/membership/control_search.h
+++ b/membership/control_search.h
@@ -58,7 +58,7 @@
   /// Whether no replica is known that replies as leader.
   bool isSearching() const { return this->Searching; }
   /// Starts to ask all replicas in turn if a request to the current one has
-  /// been unanswered for \p Timeout. The current one keeps its turn.
+  /// been unanswered for \p Timeout. The current one remains among them.
   void searchIfLate(std::chrono::milliseconds Timeout, TimePoint Now);
   /// Abandons the current replica if MaxUnansweredRequests requests to it are
   /// unanswered, the oldest for \p Timeout.
--- a/tests/membership/control_search_test.cpp
+++ b/tests/membership/control_search_test.cpp
@@ -121,7 +121,7 @@
   }
 }
 
-// That there is no leader is known only after every replica has been asked and
+// The absence of a leader is known only after every replica has been asked and
 // has refused or had time to reply.
 TEST(ControlSearchTest, KnowsThereIsNoLeaderOnlyAfterAskingAll) {
   const ScriptedReplica Silent{ReplicaAction::Silent};
@@ -176,7 +176,7 @@
   }
 }
 
-// The leader that it named earlier may be gone since.
+// The leader that it named earlier may have been lost since.
 TEST(ControlSearchTest, ASilentReplicaIsNoEvidenceOfALeader) {
   ControlSearch Search =
       makeSearch({{ReplicaAction::Silent}, {ReplicaAction::Refuses, 0}});
