--- a/agent/lease_keeper.cpp
+++ b/agent/lease_keeper.cpp
@@ -243,7 +243,7 @@
   peer::Message Message;
   peer::LeasedOffer *Offer = Message.mutable_leased_offer();
   Offer->set_job(Target.Job);
-  Offer->set_offer(this->Offers.hold(Target, Tasks, Now.Steady));
+  Offer->set_offer(this->Offers.reserve(Target, Tasks, Now.Steady));
   Offer->set_tasks(Tasks);
   *Offer->mutable_load() = this->loadFor(Target.Entry.Node, Now);
   this->Sink.send(Target.Entry, std::move(Message));
--- a/agent/lease_keeper_leases.cpp
+++ b/agent/lease_keeper_leases.cpp
@@ -29,13 +29,13 @@
 
 std::chrono::milliseconds LeaseKeeper::leaseFrom(std::uint64_t Stamp,
                                                  Instant Now) const {
-  std::uint64_t Present = stampAt(Now);
+  std::uint64_t Current = stampAt(Now);
   if (!this->Options.LeasesCountFromStamp)
-    Stamp = Present;
+    Stamp = Current;
   auto Length = static_cast<std::uint64_t>(this->Options.EntryLease.count());
-  if (Stamp > Present || Present - Stamp >= Length)
+  if (Stamp > Current || Current - Stamp >= Length)
     return {};
-  return std::chrono::milliseconds(Length - (Present - Stamp));
+  return std::chrono::milliseconds(Length - (Current - Stamp));
 }
 
 void LeaseKeeper::renew(const PeerRef &From,
@@ -44,8 +44,8 @@
   if (Left.count() == 0)
     return;
   TimePoint Until = Now.Steady + Left;
-  TimePoint &Heard = this->EntryLeaseEnds[From.Node];
-  Heard = std::max(Heard, Until);
+  TimePoint &EntryEnd = this->EntryLeaseEnds[From.Node];
+  EntryEnd = std::max(EntryEnd, Until);
   for (auto &[Id, Known] : this->Tasks)
     if (Known.Owner.Node == From.Node && Orders.contains(Known.Order))
       Known.LeaseEnd = std::max(Known.LeaseEnd, Until);
--- a/agent/offer_queue.cpp
+++ b/agent/offer_queue.cpp
@@ -34,8 +34,8 @@
   });
 }
 
-std::uint64_t OfferQueue::hold(Interest &Target, std::uint32_t Tasks,
-                               TimePoint Now) {
+std::uint64_t OfferQueue::reserve(Interest &Target, std::uint32_t Tasks,
+                                  TimePoint Now) {
   Target.Tasks -= Tasks;
   this->Offers[++this->LastOffer] = {Target.Entry.Node, Target.Job, Tasks,
                                      multiplyNeeds(Target.Needs, Tasks),
@@ -48,7 +48,7 @@
   auto Found = this->Offers.find(Offer);
   if (Found == this->Offers.end() || Found->second.Entry != Entry)
     return {};
-  Held Answered = std::move(Found->second);
+  Reservation Answered = std::move(Found->second);
   this->Offers.erase(Found);
   if (Tasks < Answered.Tasks)
     this->drop(Entry, Answered.Job);
@@ -66,7 +66,7 @@
 std::vector<peer::TaskNeeds> OfferQueue::releaseExpired(TimePoint Now) {
   std::vector<peer::TaskNeeds> Rooms;
   std::erase_if(this->Offers, [&](const auto &Item) {
-    bool Over = Now >= Item.second.Until;
+    bool Over = Now >= Item.second.ExpiresAt;
     if (Over)
       Rooms.push_back(Item.second.Room);
     return Over;
--- a/agent/offer_queue.h
+++ b/agent/offer_queue.h
@@ -48,7 +48,7 @@
 
   /// Reserves room for some of the tasks.
   /// \returns the number of the offer.
-  std::uint64_t hold(Interest &Target, std::uint32_t Tasks, TimePoint Now);
+  std::uint64_t reserve(Interest &Target, std::uint32_t Tasks, TimePoint Now);
   /// Handles an entry's reply to an offer.
   /// \param Tasks Number of tasks sent for the offer. If it is smaller than the
   /// number offered, no more tasks of the job are waiting.
@@ -66,16 +66,16 @@
   void clearInterests() { this->Interests.clear(); }
 
 private:
-  struct Held {
+  struct Reservation {
     std::string Entry;
     std::string Job;
     std::uint32_t Tasks = 0;
     peer::TaskNeeds Room;
-    TimePoint Until;
+    TimePoint ExpiresAt;
   };
   std::chrono::milliseconds Timeout;
   std::vector<Interest> Interests;
-  std::map<std::uint64_t, Held> Offers;
+  std::map<std::uint64_t, Reservation> Offers;
   std::uint64_t LastOffer = 0;
 };
 
