--- a/main/lease_agent_process.cpp
+++ b/main/lease_agent_process.cpp
@@ -52,7 +52,7 @@
   void onHold(const WorkerIncarnation &Life, WorkerReply Reply) override;
 
   void onAnnounced(const WorkerProfile &Profile) override;
-  void onLeft(const WorkerIncarnation &Life) override;
+  void onDeregistered(const WorkerIncarnation &Life) override;
 
 private:
   KeeperOptions keeperOptions() const;
@@ -88,7 +88,7 @@
   platform::WorkerClient Client;
   LeaseKeeper Keeper;
   Announcer Announce;
-  std::shared_ptr<platform::AgentGate> Gate;
+  std::shared_ptr<platform::AnnouncementHandler> Gate;
   HttpServer Worker;
   HttpServer MetricsServer;
 };
@@ -101,7 +101,7 @@
       Announce(planAnnouncer(Plan),
                planMember(Plan, peer::ROLE_AGENT, this->Incarnation),
                this->Catalog, this->Node.links(), *this),
-      Gate(std::make_shared<platform::AgentGate>(*this)),
+      Gate(std::make_shared<platform::AnnouncementHandler>(*this)),
       Worker({.Listen = Plan.ControlListen, .Threads = 1}, this->Gate),
       MetricsServer({.Listen = Plan.MetricsListen, .Threads = 1},
                     this->Metrics) {
@@ -183,7 +183,7 @@
   this->announceChanges(Now);
 }
 
-void LeaseAgentProcess::onLeft(const WorkerIncarnation &Life) {
+void LeaseAgentProcess::onDeregistered(const WorkerIncarnation &Life) {
   this->Node.loop().post([this, Life](Instant Now) {
     this->Keeper.onWorkerLeft(Life, Now);
     this->announceChanges(Now);
--- a/main/lease_entry_process.cpp
+++ b/main/lease_entry_process.cpp
@@ -69,8 +69,8 @@
   TableLease Table;
   /// As it was last logged; the loop's.
   TableState LoggedTable = TableState::Unknown;
-  std::shared_ptr<platform::EntryGate> Gate;
-  std::shared_ptr<platform::HealthGate> Health;
+  std::shared_ptr<platform::CallerHandler> Gate;
+  std::shared_ptr<platform::HealthHandler> Health;
   LeaseCoordinator Coordinator;
   Announcer Announce;
   HttpServer Callers;
@@ -82,22 +82,23 @@
     : Plan(Plan), Node(planIdentity(Plan, peer::ROLE_ENTRY, this->Incarnation),
                        {}, this->Source, LeaseTick),
       Table(planTableLease(Plan)),
-      Gate(std::make_shared<platform::EntryGate>(this->Catalog, this->Source,
-                                                 this->Load, this->Table)),
-      Health(std::make_shared<platform::HealthGate>(
+      Gate(std::make_shared<platform::CallerHandler>(
+          this->Catalog, this->Source, this->Load, this->Table)),
+      Health(std::make_shared<platform::HealthHandler>(
           [this] { return this->Node.loop().lastIdle(); }, this->Source,
           this->Load)),
       Coordinator(this->coordinatorOptions(), this->Node.links(), *this->Gate),
       Announce(planEntryAnnouncer(Plan),
                planMember(Plan, peer::ROLE_ENTRY, this->Incarnation),
                this->Catalog, this->Node.links(), *this),
-      Callers((this->Gate->connect(this->Node.loop(), this->Coordinator),
-               HttpServerOptions{.Listen = Plan.CallerListen,
-                                 .Threads = 1,
-                                 .MaxBodyBytes = MaxBodyBytes,
-                                 .HeaderTimeout = CallerTimeout,
-                                 .Headers = platform::EntryGate::headers()}),
-              this->Gate),
+      Callers(
+          (this->Gate->connect(this->Node.loop(), this->Coordinator),
+           HttpServerOptions{.Listen = Plan.CallerListen,
+                             .Threads = 1,
+                             .MaxBodyBytes = MaxBodyBytes,
+                             .HeaderTimeout = CallerTimeout,
+                             .Headers = platform::CallerHandler::headers()}),
+          this->Gate),
       Balancer({.Listen = Plan.HealthListen, .Threads = 1}, this->Health),
       MetricsServer({.Listen = Plan.MetricsListen, .Threads = 1},
                     this->Metrics) {
--- a/main/seeded_control_process.cpp
+++ b/main/seeded_control_process.cpp
@@ -108,7 +108,7 @@
       Operators({.Listen = Plan.ControlListen,
                  .Threads = 1,
                  .MaxBodyBytes = MaxBodyBytes},
-                std::make_shared<platform::ControlGate>(
+                std::make_shared<platform::ConfigHandler>(
                     this->Node.loop(), this->Service, this->Replica)),
       MetricsServer({.Listen = Plan.MetricsListen, .Threads = 1},
                     this->Metrics) {
--- a/tests/platform/announcement_test.cpp
+++ b/tests/platform/announcement_test.cpp
@@ -18,8 +18,8 @@
   void onAnnounced(const WorkerProfile &Profile) override {
     this->Profiles.push_back(Profile);
   }
-  void onLeft(const WorkerIncarnation &Life) override {
-    this->Left.push_back(Life);
+  void onDeregistered(const WorkerIncarnation &Incarnation) override {
+    this->Left.push_back(Incarnation);
   }
 
   std::vector<WorkerProfile> Profiles;
@@ -71,7 +71,7 @@
 
 TEST_GROUP(AnnouncementTest) {
   RecordingTarget Target;
-  AgentGate Gate{Target};
+  AnnouncementHandler Gate{Target};
 
   HttpStatus call(const std::string &Body, const std::string &Id = "i-7f3a91c2",
                   const char *Verb = "heartbeat") {
--- a/tests/platform/codec_test.cpp
+++ b/tests/platform/codec_test.cpp
@@ -99,7 +99,7 @@
 TEST(CodecTest, AJobIsDecodedWhole) {
   DecodedJob Decoded =
       decodeJob(jobBody().dump(), "00000000000000aa", routeOf(), 3000ms);
-  STRCMP_EQUAL("", Decoded.Unserved.c_str());
+  STRCMP_EQUAL("", Decoded.UnsupportedFeature.c_str());
   LONGS_EQUAL(4, Decoded.Request.TaskCount);
   LONGS_EQUAL(500, Decoded.Request.Needs.cpu_milli());
   LONGS_EQUAL(1500, Decoded.Request.Objective.count());
@@ -153,7 +153,7 @@
     Body[json::json_pointer(Row.Pointer)] = Row.Value;
     DecodedJob Decoded =
         decodeJob(Body.dump(), "00000000000000aa", routeOf(), 1500ms);
-    STRCMP_EQUAL(Row.Feature, Decoded.Unserved.c_str());
+    STRCMP_EQUAL(Row.Feature, Decoded.UnsupportedFeature.c_str());
   }
 }
 
--- a/tests/platform/entry_gate_callers_test.cpp
+++ b/tests/platform/entry_gate_callers_test.cpp
@@ -13,12 +13,12 @@
 
 namespace {
 
-constexpr std::uint64_t Life = 9;
+constexpr std::uint64_t Incarnation = 9;
 constexpr const char *JobA = "0123456789abcdef";
 constexpr const char *JobB = "fedcba9876543210";
 
 /// Time stands still: nothing here may end by a time-out.
-class StandingClock final : public Clock {
+class FrozenClock final : public Clock {
 public:
   Instant now() const override {
     return {TimePoint(1h), fromUnixMillis(1800000000000)};
@@ -47,14 +47,14 @@
 
 } // namespace
 
-TEST_GROUP(EntryGateCallersTest) {
-  StandingClock Source;
+TEST_GROUP(CallerDisconnectTest) {
+  FrozenClock Source;
   PlainWaiter Waiter;
   EventLoop Loop{Source, Waiter, 20ms, [](Instant) {}, [] {}};
   SelfLoad Load{SelfLoadOptions()};
   NodeCatalog Catalog;
   TableLease Table{TableLeaseOptions()};
-  EntryGate Gate{Catalog, Source, Load, Table};
+  CallerHandler Gate{Catalog, Source, Load, Table};
   CollectingSink Sink;
   LeaseCoordinator Coordinator{CoordinatorOptions(), Sink, Gate};
 
@@ -93,14 +93,14 @@
     Member.set_name("a");
     Member.set_role(peer::ROLE_AGENT);
     Member.set_state(peer::MEMBER_ALIVE);
-    Member.set_incarnation(Life);
+    Member.set_incarnation(Incarnation);
     Member.set_address("10.0.0.1:1");
     Member.set_pool("pool");
     Member.mutable_room()->set_cpu_milli(4000);
     Member.mutable_room()->set_memory_mb(4000);
     Coordinator.onMember(Member, Now);
     peer::Message Told;
-    Told.mutable_worker_load()->set_incarnation(Life);
+    Told.mutable_worker_load()->set_incarnation(Incarnation);
     Told.mutable_worker_load()->set_stamp(1);
     Coordinator.onMessage({"a", "10.0.0.1:1"}, Told, Now);
   }
@@ -131,14 +131,14 @@
       Update->set_job(Sent.job());
       Update->set_order(Sent.tasks(0).order());
       Update->set_event(peer::LEASED_DONE);
-      Update->mutable_load()->set_incarnation(Life);
+      Update->mutable_load()->set_incarnation(Incarnation);
       Update->mutable_load()->set_stamp(2);
       Coordinator.onMessage({"a", "10.0.0.1:1"}, Message, Now);
     });
   }
 };
 
-TEST(EntryGateCallersTest, AJobWhoseOnlyCallerHasGoneIsStopped) {
+TEST(CallerDisconnectTest, AJobWhoseOnlyCallerHasGoneIsStopped) {
   submit(JobA, 1);
   leave(2);
   LONGS_EQUAL(0, Sink.Stopped.size());
@@ -148,7 +148,7 @@
 
 // A caller hands a job in again on another connection when the first one has
 // broken; that this end of the first is closed may be heard of only then.
-TEST(EntryGateCallersTest, AJobThatAnotherCallerAwaitsGoesOn) {
+TEST(CallerDisconnectTest, AJobThatAnotherCallerAwaitsGoesOn) {
   auto First = submit(JobA, 1);
   auto Second = submit(JobA, 2);
   LONGS_EQUAL(1, Sink.Dispatches.size());
@@ -160,7 +160,7 @@
   LONGS_EQUAL(0, Coordinator.inFlight());
 }
 
-TEST(EntryGateCallersTest, AJobEndsWithItsLastCaller) {
+TEST(CallerDisconnectTest, AJobEndsWithItsLastCaller) {
   submit(JobA, 1);
   submit(JobA, 2);
   leave(2);
@@ -169,7 +169,7 @@
   LONGS_EQUAL(1, Sink.Stopped.size());
 }
 
-TEST(EntryGateCallersTest, AllJobsOfAConnectionThatEndsAreStopped) {
+TEST(CallerDisconnectTest, AllJobsOfAConnectionThatEndsAreStopped) {
   submit(JobA, 1);
   submit(JobB, 1);
   leave(1);
--- a/tests/platform/entry_gate_test.cpp
+++ b/tests/platform/entry_gate_test.cpp
@@ -14,7 +14,7 @@
 
 namespace {
 
-class SetClock final : public Clock {
+class ManualClock final : public Clock {
 public:
   Instant now() const override {
     return {this->Now.load(), fromUnixMillis(1800000000000)};
@@ -27,7 +27,7 @@
 };
 
 /// Lets the loop look for work all the time.
-class RestlessWaiter final : public LoopWaiter {
+class PollingWaiter final : public LoopWaiter {
 public:
   bool wait(Duration) override {
     std::this_thread::sleep_for(1ms);
@@ -36,7 +36,7 @@
   void wake() override {}
 };
 
-class GiveUpSink final : public PeerSink {
+class DispatchSink final : public PeerSink {
 public:
   void send(const PeerRef &, peer::Message Message) override {
     if (Message.has_leased_dispatch())
@@ -46,7 +46,7 @@
   std::optional<int> GiveUpMs;
 };
 
-class KeptReply final : public HttpReply {
+class RecordingReply final : public HttpReply {
 public:
   void send(const HttpAnswer &NewAnswer) override {
     std::lock_guard Lock(this->Mutex);
@@ -69,13 +69,13 @@
 
 /// No answer, as the request was taken.
 constexpr int NoAnswer = 0;
-constexpr std::uint64_t Life = 9;
+constexpr std::uint64_t Incarnation = 9;
 
 /// An entry's gate and what it rests on. Its loop had nothing left to do when
 /// this was made, and runs only where a test starts it.
-class GateBench {
+class HandlerFixture {
 public:
-  GateBench() {
+  HandlerFixture() {
     peer::CatalogUpdate Update;
     Update.set_revision(5);
     Update.mutable_routes()->set_version(5);
@@ -91,7 +91,7 @@
     this->Table.setHeldRevision(5);
     this->Gate.connect(this->Loop, this->Coordinator);
   }
-  ~GateBench() { this->Loop.stop(); }
+  ~HandlerFixture() { this->Loop.stop(); }
 
   TimePoint ago(std::chrono::milliseconds Time) const {
     return this->Source.now().Steady - Time;
@@ -114,23 +114,25 @@
     Member.set_name("a1");
     Member.set_role(peer::ROLE_AGENT);
     Member.set_state(peer::MEMBER_ALIVE);
-    Member.set_incarnation(Life);
+    Member.set_incarnation(Incarnation);
     Member.set_address("10.0.0.1:1");
     Member.set_pool("pool");
     Member.mutable_room()->set_cpu_milli(4000);
     Member.mutable_room()->set_memory_mb(1000);
     this->Coordinator.onMember(Member, this->Source.now());
     peer::Message Heard;
-    Heard.mutable_worker_load()->set_incarnation(Life);
+    Heard.mutable_worker_load()->set_incarnation(Incarnation);
     Heard.mutable_worker_load()->set_stamp(1);
     this->Coordinator.onMessage({"a1", "10.0.0.1:1"}, Heard,
                                 this->Source.now());
   }
-  std::shared_ptr<KeptReply> send(HttpMethod Method, const std::string &Path) {
-    return this->send(Method, Path, std::make_shared<KeptReply>());
+  std::shared_ptr<RecordingReply> send(HttpMethod Method,
+                                       const std::string &Path) {
+    return this->send(Method, Path, std::make_shared<RecordingReply>());
   }
-  std::shared_ptr<KeptReply> send(HttpMethod Method, const std::string &Path,
-                                  std::shared_ptr<KeptReply> Reply) {
+  std::shared_ptr<RecordingReply> send(HttpMethod Method,
+                                       const std::string &Path,
+                                       std::shared_ptr<RecordingReply> Reply) {
     HttpRequest Request;
     Request.Method = Method;
     Request.Resource = Path;
@@ -181,16 +183,16 @@
       std::this_thread::sleep_for(1ms);
   }
 
-  SetClock Source;
+  ManualClock Source;
   NodeCatalog Catalog;
   TableLease Table{TableLeaseOptions{1750ms, 1000ms}};
-  RestlessWaiter Waiter;
+  PollingWaiter Waiter;
   EventLoop Loop{Source, Waiter, 20ms, [](Instant) {}, [] {}};
 
 private:
-  GiveUpSink Sink;
+  DispatchSink Sink;
   SelfLoad Load{SelfLoadOptions()};
-  EntryGate Gate{Catalog, Source, Load, Table};
+  CallerHandler Gate{Catalog, Source, Load, Table};
   LeaseCoordinator Coordinator{{}, Sink, Gate};
   std::uint64_t Connections = 0;
 };
@@ -201,7 +203,7 @@
 
 } // namespace
 
-TEST_GROUP(EntryGateTest){};
+TEST_GROUP(CallerHandlerTest){};
 
 // An entry told a caller "404, no route" by a table 3.0 s old: version 6 had
 // been acknowledged at 2.042 s and the request was answered at 5.077 s. Others
@@ -209,10 +211,10 @@
 // read, or not come; the entry judged by its load alone whether it might have
 // missed news, and asked that only before a 404. So a request that the old
 // table served passed by, and so did a 404 while the loop was idle.
-TEST(EntryGateTest, AnOldTableNeitherServesNorDenies) {
+TEST(CallerHandlerTest, AnOldTableNeitherServesNorDenies) {
   struct Row {
     const char *Name;
-    void (GateBench::*Prepare)();
+    void (HandlerFixture::*Prepare)();
     HttpMethod Method;
     const char *Path;
     int Expected;
@@ -220,7 +222,7 @@
   };
   const char *Known = "/known/00000000000000a1";
   const char *Other = "/other/00000000000000a1";
-  using Bench = GateBench;
+  using Bench = HandlerFixture;
   const Row Rows[] = {
       {"current, known", &Bench::makeCurrent, HttpMethod::Post, Known, NoAnswer,
        ""},
@@ -242,7 +244,7 @@
        503, "may be new"},
   };
   for (const Row &Row : Rows) {
-    GateBench Bench;
+    HandlerFixture Bench;
     (Bench.*Row.Prepare)();
     auto Answer = Bench.send(Row.Method, Row.Path)->answer();
     LONGS_EQUAL_TEXT(Row.Expected, statusOf(Answer), Row.Name);
@@ -258,7 +260,7 @@
 // A caller that hands its job in again on another connection joins the job
 // that runs. The end of the first connection, read only then, stopped the job,
 // so that the second connection was told that its caller had gone.
-TEST(EntryGateTest, ACallerThatLeavesEndsAJobOnlyIfNobodyElseAwaitsIt) {
+TEST(CallerHandlerTest, ACallerThatLeavesEndsAJobOnlyIfNobodyElseAwaitsIt) {
   struct Row {
     const char *Name;
     std::vector<std::uint64_t> Leaving;
@@ -274,7 +276,7 @@
   };
   const char *Known = "/known/00000000000000a1";
   for (const Row &Row : Rows) {
-    GateBench Bench;
+    HandlerFixture Bench;
     Bench.addAgent();
     Bench.makeCurrent();
     Bench.Loop.start();
@@ -293,18 +295,18 @@
 }
 
 // 503 says that a job has not run and never will.
-TEST(EntryGateTest, AnOldTableDoesNotDenyThatAJobHasRun) {
+TEST(CallerHandlerTest, AnOldTableDoesNotDenyThatAJobHasRun) {
   struct Row {
     const char *Name;
     bool HasAgent;
     bool CallerGone;
-    void (GateBench::*Prepare)();
+    void (HandlerFixture::*Prepare)();
     const char *Path;
     int Expected;
   };
   const char *Known = "/known/00000000000000a1";
   const char *Dropped = "/dropped/00000000000000a1";
-  using Bench = GateBench;
+  using Bench = HandlerFixture;
   const Row Rows[] = {
       {"ended", false, false, &Bench::makeUnknown, Known, 504},
       {"in flight", true, false, &Bench::makeUnknown, Known, NoAnswer},
@@ -317,7 +319,7 @@
        404},
   };
   for (const Row &Row : Rows) {
-    GateBench Bench;
+    HandlerFixture Bench;
     if (Row.HasAgent)
       Bench.addAgent();
     Bench.makeCurrent();
@@ -339,9 +341,9 @@
 
 // Deadlines of jobs reach some 17 s, while ids were remembered for 5 to 10 s.
 // A job still under way after that was told that it has not run.
-TEST(EntryGateTest, AJobIsRememberedAsLongAsItMayBeUnderWay) {
+TEST(CallerHandlerTest, AJobIsRememberedAsLongAsItMayBeUnderWay) {
   const char *Long = "/known/00000000000000a1";
-  GateBench Bench;
+  HandlerFixture Bench;
   Bench.addAgent();
   Bench.makeCurrent();
   Bench.Loop.start();
@@ -365,7 +367,7 @@
 // A caller counts its deadline, 3,000 ms here, from when it sent its request.
 // An entry that counted it from when it read the request went on for longer
 // than its caller waited, beside the caller's next hand-in elsewhere.
-TEST(EntryGateTest, TheDeadlineCountsFromTheRequestsArrival) {
+TEST(CallerHandlerTest, TheDeadlineCountsFromTheRequestsArrival) {
   struct Row {
     const char *Name;
     std::chrono::milliseconds Frozen;
@@ -423,7 +425,7 @@
   };
   const char *Known = "/known/00000000000000a1";
   for (const Row &Row : Rows) {
-    GateBench Bench;
+    HandlerFixture Bench;
     Bench.addAgent();
     Bench.Loop.start();
     Bench.Source.Suspended.store(Row.Suspended);
@@ -432,7 +434,7 @@
     Bench.pass(Row.ReadAfter);
     Bench.addAgent();
     Bench.makeCurrent();
-    auto Reply = std::make_shared<KeptReply>();
+    auto Reply = std::make_shared<RecordingReply>();
     Reply->Age = Row.Age;
     Reply->HasClient = Row.HasClient;
     Bench.send(HttpMethod::Post, Known, Reply);
@@ -444,8 +446,8 @@
 }
 
 // 503 says that a job never runs.
-TEST(EntryGateTest, AJobTakenBeforeIsNotPlacedForACallerThatWaitsNoMore) {
-  GateBench Bench;
+TEST(CallerHandlerTest, AJobTakenBeforeIsNotPlacedForACallerThatWaitsNoMore) {
+  HandlerFixture Bench;
   Bench.makeCurrent();
   Bench.Loop.start();
   const char *Known = "/known/00000000000000a1";
@@ -457,7 +459,7 @@
   Bench.freeze(4000ms);
   Bench.addAgent();
   Bench.makeCurrent();
-  auto Second = std::make_shared<KeptReply>();
+  auto Second = std::make_shared<RecordingReply>();
   Second->Age = RequestAge{3500ms, 3500ms};
   Bench.send(HttpMethod::Post, Known, Second);
   CHECK_FALSE(Bench.giveUpMs().has_value());
@@ -465,7 +467,7 @@
 }
 
 // A request that has been read may wait for the loop.
-TEST(EntryGateTest, TheDeadlineGoesOnWhileTheLoopDoesNotRun) {
+TEST(CallerHandlerTest, TheDeadlineGoesOnWhileTheLoopDoesNotRun) {
   struct Row {
     const char *Name;
     std::chrono::milliseconds Waited;
@@ -478,7 +480,7 @@
   };
   const char *Known = "/known/00000000000000a1";
   for (const Row &Row : Rows) {
-    GateBench Bench;
+    HandlerFixture Bench;
     Bench.addAgent();
     Bench.makeCurrent();
     auto Reply = Bench.send(HttpMethod::Post, Known);
--- a/tests/platform/late_request_test.cpp
+++ b/tests/platform/late_request_test.cpp
@@ -20,7 +20,7 @@
 
 namespace {
 
-constexpr std::uint64_t Life = 9;
+constexpr std::uint64_t Incarnation = 9;
 constexpr std::chrono::milliseconds Pause{600};
 
 class DispatchSink final : public PeerSink {
@@ -75,7 +75,7 @@
   SelfLoad Load{SelfLoadOptions()};
   NodeCatalog Catalog;
   TableLease Table{TableLeaseOptions()};
-  EntryGate Gate{Catalog, Source, Load, Table};
+  CallerHandler Gate{Catalog, Source, Load, Table};
   DispatchSink Sink;
   LeaseCoordinator Coordinator{CoordinatorOptions(), Sink, Gate};
 
@@ -112,14 +112,14 @@
     Member.set_name("a");
     Member.set_role(peer::ROLE_AGENT);
     Member.set_state(peer::MEMBER_ALIVE);
-    Member.set_incarnation(Life);
+    Member.set_incarnation(Incarnation);
     Member.set_address("10.0.0.1:1");
     Member.set_pool("pool");
     Member.mutable_room()->set_cpu_milli(4000);
     Member.mutable_room()->set_memory_mb(4000);
     Coordinator.onMember(Member, Now);
     peer::Message Told;
-    Told.mutable_worker_load()->set_incarnation(Life);
+    Told.mutable_worker_load()->set_incarnation(Incarnation);
     Told.mutable_worker_load()->set_stamp(1);
     Coordinator.onMessage({"a", "10.0.0.1:1"}, Told, Now);
   }
@@ -131,7 +131,7 @@
   auto Holding = std::make_shared<HoldingHandler>(Gate);
   HttpServer Server({.Listen = "127.0.0.1:" + std::to_string(Port),
                      .Threads = 1,
-                     .Headers = EntryGate::headers()},
+                     .Headers = CallerHandler::headers()},
                     Holding);
   Caller First(Port);
   First.connect();
--- a/tests/platform/reply_rows_test.cpp
+++ b/tests/platform/reply_rows_test.cpp
@@ -17,7 +17,7 @@
 
 namespace {
 
-constexpr const char *Life = "life-1";
+constexpr const char *Incarnation = "life-1";
 constexpr std::chrono::milliseconds Step{20};
 
 class RecordingPort final : public WorkerPort {
@@ -77,7 +77,7 @@
   }
   void attach() {
     WorkerProfile Profile;
-    Profile.Id = Life;
+    Profile.Id = Incarnation;
     Session->onProfile(Profile, Now);
   }
   /// Starts the tasks a.0 to a.(Count-1), as run 1 each.
@@ -86,17 +86,17 @@
     hold("", "");
     for (std::uint32_t I = 0; I < Count; ++I) {
       Session->start({"a", I, 1}, "spec", Now);
-      Session->onStartReply({Life}, {"a", I, 1}, replyOf("", ""), Now);
+      Session->onStartReply({Incarnation}, {"a", I, 1}, replyOf("", ""), Now);
     }
   }
   void hold(const std::string &Running, const std::string &Ended) {
-    Session->onHoldReply({Life}, replyOf(Running, Ended), Now);
+    Session->onHoldReply({Incarnation}, replyOf(Running, Ended), Now);
   }
   void confirmStops() {
     std::vector<RunKey> Called;
     std::swap(Called, Port.Stops);
     for (const RunKey &Run : Called)
-      Session->onStopReply({Life}, Run, replyOf("", ""), Now);
+      Session->onStopReply({Incarnation}, Run, replyOf("", ""), Now);
   }
   /// Gives the same reply to each call for ends during this time.
   void holdFor(std::chrono::milliseconds Time, const std::string &Running,
--- a/tests/platform/worker_client_test.cpp
+++ b/tests/platform/worker_client_test.cpp
@@ -17,19 +17,19 @@
 
 namespace {
 
-constexpr const char *Accepted =
+constexpr const char *AcceptedResponse =
     "HTTP/1.1 200 OK\r\nContent-Length: 14\r\n\r\n{\"clockMs\":10}";
-constexpr const char *Unwell =
+constexpr const char *UnavailableResponse =
     "HTTP/1.1 503 Unavailable\r\nContent-Length: 2\r\n\r\n{}";
-constexpr const char *OtherLife =
+constexpr const char *MisdirectedResponse =
     "HTTP/1.1 421 Misdirected\r\nContent-Length: 2\r\n\r\n{}";
 
 /// A worker on loopback. It answers its first call, takes the second and ends
 /// that connection in place of an answer; what it does next, a test says.
-class BreakingWorker {
+class DisconnectingWorker {
 public:
   /// \param Later Its answer to calls on later connections; null takes none.
-  explicit BreakingWorker(const char *Later) : Later(Later) {
+  explicit DisconnectingWorker(const char *Later) : Later(Later) {
     this->Listener = ::socket(AF_INET, SOCK_STREAM, 0);
     sockaddr_in Address{};
     Address.sin_family = AF_INET;
@@ -43,13 +43,13 @@
     this->Port = ntohs(Address.sin_port);
     this->Thread = std::thread([this] { this->run(); });
   }
-  ~BreakingWorker() {
+  ~DisconnectingWorker() {
     ::shutdown(this->Listener, SHUT_RDWR);
     this->Thread.join();
     ::close(this->Listener);
   }
-  BreakingWorker(const BreakingWorker &) = delete;
-  BreakingWorker &operator=(const BreakingWorker &) = delete;
+  DisconnectingWorker(const DisconnectingWorker &) = delete;
+  DisconnectingWorker &operator=(const DisconnectingWorker &) = delete;
 
   std::string address() const {
     return fmt::format("127.0.0.1:{}", this->Port);
@@ -61,7 +61,7 @@
     if (First < 0)
       return;
     if (readCall(First))
-      answer(First, Accepted);
+      answer(First, AcceptedResponse);
     readCall(First);
     // Before the connection ends, so that nobody connects in between.
     if (this->Later == nullptr)
@@ -172,10 +172,10 @@
     const char *Later;
   };
   const Row Rows[] = {{"the worker is gone", nullptr},
-                      {"the worker is unwell", Unwell},
-                      {"another life is there", OtherLife}};
+                      {"the worker is unwell", UnavailableResponse},
+                      {"another life is there", MisdirectedResponse}};
   for (const Row &Row : Rows) {
-    BreakingWorker Worker(Row.Later);
+    DisconnectingWorker Worker(Row.Later);
     CollectingReplies Replies;
     WorkerClient Client(patientOptions(), Replies);
     Client.attach(profileAt(Worker.address()));
@@ -189,7 +189,7 @@
 TEST(WorkerClientTest, AStartThatFoundNoConnectionHasNotBegun) {
   std::string Nowhere;
   {
-    BreakingWorker Worker(nullptr);
+    DisconnectingWorker Worker(nullptr);
     Nowhere = Worker.address();
   }
   CollectingReplies Replies;
@@ -203,7 +203,7 @@
 
 // Stops and requests for ends do the same when they arrive twice.
 TEST(WorkerClientTest, AStopWhoseConnectionBrokeIsSentAgain) {
-  BreakingWorker Worker(Accepted);
+  DisconnectingWorker Worker(AcceptedResponse);
   CollectingReplies Replies;
   WorkerClient Client(patientOptions(), Replies);
   Client.attach(profileAt(Worker.address()));
