--- a/main/lease_agent_process.cpp
+++ b/main/lease_agent_process.cpp
@@ -4,7 +4,7 @@
 #include "http/metrics_page.h"
 #include "main/lease_wiring.h"
 #include "main/process.h"
-#include "platform/agent_gate.h"
+#include "platform/announcement_handler.h"
 #include "platform/worker_client.h"
 #include "protocol/task_needs.h"
 #include "transport/link_node.h"
--- a/main/lease_entry_process.cpp
+++ b/main/lease_entry_process.cpp
@@ -5,7 +5,7 @@
 #include "http/metrics_page.h"
 #include "main/lease_wiring.h"
 #include "main/process.h"
-#include "platform/entry_gate.h"
+#include "platform/caller_handler.h"
 #include "transport/link_node.h"
 
 namespace yardwheel {
--- a/main/seeded_control_process.cpp
+++ b/main/seeded_control_process.cpp
@@ -5,7 +5,7 @@
 #include "http/metrics_page.h"
 #include "main/lease_wiring.h"
 #include "main/process.h"
-#include "platform/control_gate.h"
+#include "platform/config_handler.h"
 #include "platform/node_settings.h"
 #include "transport/link_node.h"
 
--- a/tests/platform/announcement_test.cpp
+++ b/tests/platform/announcement_test.cpp
@@ -1,6 +1,6 @@
 //===- What workers' announcements may get wrong --------------------------===//
 
-#include "platform/agent_gate.h"
+#include "platform/announcement_handler.h"
 
 #include <nlohmann/json.hpp>
 
--- a/tests/platform/entry_gate_callers_test.cpp
+++ b/tests/platform/caller_disconnect_test.cpp
@@ -1,4 +1,4 @@
-#include "platform/entry_gate.h"
+#include "platform/caller_handler.h"
 #include "tests/support/plain_waiter.h"
 
 #include <condition_variable>
--- a/tests/platform/late_request_test.cpp
+++ b/tests/platform/late_request_test.cpp
@@ -1,7 +1,7 @@
 //===- An entry's gate behind a server that reads late --------------------===//
 
 #include "http/http_server.h"
-#include "platform/entry_gate.h"
+#include "platform/caller_handler.h"
 #include "platform/job_codec.h"
 #include "tests/support/http_caller.h"
 #include "tests/support/plain_waiter.h"
