--- a/tests/platform/announcement_test.cpp
+++ b/tests/platform/announcement_test.cpp
@@ -1,4 +1,4 @@
-//===- What workers' announcements may get wrong --------------------------===//
+//===- Malformed announcements of workers ---------------------------------===//
 
 #include "platform/announcement_handler.h"
 
@@ -42,7 +42,7 @@
     "clockMs":482113,"sequence":4})");
 }
 
-/// A change of one field of a good announcement.
+/// A change of one field of a valid announcement.
 struct Change {
   const char *Pointer;
   json Value;
@@ -84,7 +84,8 @@
     LONGS_EQUAL(1, Reply->Answers.size());
     return Reply->Answers[0].Status;
   }
-  /// Refused, nobody hears of it, and the next good one is taken.
+  /// Checks that the announcement is refused and not passed on, and that the
+  /// next valid one is accepted.
   void checkRefused(const std::string &Body, const char *Name,
                     const std::string &Id = "i-7f3a91c2") {
     std::size_t Before = Target.Profiles.size();
@@ -95,7 +96,7 @@
   }
 };
 
-TEST(AnnouncementTest, BytesThatAreNoAnnouncementAreRefused) {
+TEST(AnnouncementTest, MalformedAnnouncementsAreRefused) {
   std::string Good = announcement().dump();
   std::string Nul = Good;
   Nul[Nul.find("ready")] = '\0';
@@ -120,7 +121,7 @@
     checkRefused(Body, Name);
 }
 
-TEST(AnnouncementTest, OneWrongFieldRefusesTheWhole) {
+TEST(AnnouncementTest, OneInvalidFieldRefusesTheAnnouncement) {
   const Change Rows[] = {
       {"/service", Missing},
       {"/service", nullptr},
@@ -194,15 +195,15 @@
         (Row.Pointer + (" " + Row.Value.dump().substr(0, 40))).c_str());
 }
 
-TEST(AnnouncementTest, AStateThatIsNotNamedIsNotReady) {
+TEST(AnnouncementTest, UnknownStatesAreRefused) {
   for (const char *State : {"warming", "", "Ready", "draining ", "drained"})
     checkRefused(changed({"/state", State}), State);
 }
 
-// It is sent on in a header of each call, which a line's end would split.
-TEST(AnnouncementTest, AnIdOfOddBytesIsRefused) {
+// The id is sent in a header of each call, which a line break would split.
+TEST(AnnouncementTest, IdsWithUnsafeCharactersAreRefused) {
   const std::pair<const char *, std::string> Rows[] = {
-      {"a line's end", "i-1\r\nX-Other: 1"},
+      {"a line break", "i-1\r\nX-Other: 1"},
       {"a nul byte", std::string("i\0", 2)},
       {"a space", "i 1"},
       {"not UTF-8", "i-\xff"},
@@ -217,14 +218,14 @@
   LONGS_EQUAL(0, Target.Left.size());
 }
 
-TEST(AnnouncementTest, WhatDecidesNothingMayBeMissing) {
+TEST(AnnouncementTest, UnusedFieldsMayBeMissing) {
   for (const char *Pointer :
        {"/zone", "/version", "/slots", "/coldLeftMs", "/clockMs"})
     CHECK_TEXT(call(changed({Pointer, Missing})) == HttpStatus::Ok, Pointer);
   CHECK(call(changed({"/later", json::object()})) == HttpStatus::Ok);
 }
 
-TEST(AnnouncementTest, StatesAreTakenAsTheyAreNamed) {
+TEST(AnnouncementTest, StatesAreDecoded) {
   call(announcement().dump());
   call(changed({"/state", "draining"}));
   CHECK_FALSE(Target.Profiles[0].Draining);
@@ -233,8 +234,8 @@
   STRCMP_EQUAL("i-1", Target.Left[0].Id.c_str());
 }
 
-// A worker that starts again keeps its id.
-TEST(AnnouncementTest, ALifeIsNamedByItsTimeOfBirthToo) {
+// A restarted worker keeps its id.
+TEST(AnnouncementTest, IncarnationsIncludeTheStartTime) {
   call(announcement().dump());
   call(changed({"/born", 1800000000123}));
   CHECK_FALSE(Target.Profiles[0].StartUnixMs.has_value());
--- a/tests/platform/caller_disconnect_test.cpp
+++ b/tests/platform/caller_disconnect_test.cpp
@@ -17,7 +17,7 @@
 constexpr const char *JobA = "0123456789abcdef";
 constexpr const char *JobB = "fedcba9876543210";
 
-/// Time stands still: nothing here may end by a time-out.
+/// Time does not advance, so that no timeout can end a job.
 class FrozenClock final : public Clock {
 public:
   Instant now() const override {
@@ -79,7 +79,7 @@
   }
   void teardown() override { Loop.stop(); }
 
-  /// Does this on the loop, after all that was posted before, and waits.
+  /// Runs the work on the loop, after all work posted before, and waits for it.
   void onLoop(const EventLoop::Work &Item) {
     std::promise<void> Done;
     Loop.post([&](Instant Now) {
@@ -122,7 +122,7 @@
     Gate.onDisconnect(Connection);
     this->onLoop([](Instant) {});
   }
-  /// The job's task is done.
+  /// Reports the task of a dispatch as done.
   void finish(std::size_t Dispatch) {
     this->onLoop([&](Instant Now) {
       const peer::LeasedDispatch &Sent = Sink.Dispatches.at(Dispatch);
@@ -138,7 +138,7 @@
   }
 };
 
-TEST(CallerDisconnectTest, AJobWhoseOnlyCallerHasGoneIsStopped) {
+TEST(CallerDisconnectTest, AJobIsStoppedWhenItsOnlyCallerDisconnects) {
   submit(JobA, 1);
   leave(2);
   LONGS_EQUAL(0, Sink.Stopped.size());
@@ -146,9 +146,10 @@
   LONGS_EQUAL(1, Sink.Stopped.size());
 }
 
-// A caller hands a job in again on another connection when the first one has
-// broken; that this end of the first is closed may be heard of only then.
-TEST(CallerDisconnectTest, AJobThatAnotherCallerAwaitsGoesOn) {
+// A caller submits its job again on another connection when the first one has
+// failed. The entry may detect the end of the first connection only after
+// that.
+TEST(CallerDisconnectTest, AJobContinuesWhileAnotherCallerWaits) {
   auto First = submit(JobA, 1);
   auto Second = submit(JobA, 2);
   LONGS_EQUAL(1, Sink.Dispatches.size());
--- a/tests/platform/caller_handler_test.cpp
+++ b/tests/platform/caller_handler_test.cpp
@@ -26,7 +26,7 @@
   std::atomic<Duration> Suspended{Duration(0)};
 };
 
-/// Lets the loop look for work all the time.
+/// Never blocks for long, so that the loop polls for work.
 class PollingWaiter final : public LoopWaiter {
 public:
   bool wait(Duration) override {
@@ -42,7 +42,7 @@
     if (Message.has_leased_dispatch())
       this->GiveUpMs = Message.leased_dispatch().give_up_ms();
   }
-  /// Of the last dispatch; none while nothing was dispatched.
+  /// Of the last dispatch; empty while nothing was dispatched.
   std::optional<int> GiveUpMs;
 };
 
@@ -58,7 +58,7 @@
   }
   std::optional<RequestAge> age() const override { return this->Age; }
   bool hasClient() const override { return this->HasClient; }
-  /// As the host tells it.
+  /// The age that the host reports.
   std::optional<RequestAge> Age;
   bool HasClient = true;
 
@@ -67,12 +67,12 @@
   std::optional<HttpAnswer> Answer;
 };
 
-/// No answer, as the request was taken.
+/// No answer, since the request was accepted.
 constexpr int NoAnswer = 0;
 constexpr std::uint64_t Incarnation = 9;
 
-/// An entry's gate and what it rests on. Its loop had nothing left to do when
-/// this was made, and runs only where a test starts it.
+/// A CallerHandler and its dependencies. The event loop was idle when the
+/// fixture was created, and runs only if a test starts it.
 class HandlerFixture {
 public:
   HandlerFixture() {
@@ -97,18 +97,18 @@
     return this->Source.now().Steady - Time;
   }
   void makeCurrent() { this->Table.confirm(this->ago(100ms)); }
-  /// News may lie unread, or be missing.
+  /// Updates of the route table may be unread or missing.
   void makeUnknown() {
     this->Table.confirm(this->ago(3000ms));
     this->Table.tick(this->ago(0ms));
   }
-  /// All of control has been asked in vain.
+  /// No control replica has answered.
   void makeUnreachable() {
     this->Table.confirm(this->ago(3000ms));
     this->Table.tick(this->ago(0ms));
     this->Table.setNoLeaderSince(this->ago(1000ms));
   }
-  /// Room for a job of one task, of an agent that has been heard.
+  /// Adds an agent that has reported capacity for a job of one task.
   void addAgent() {
     peer::Member Member;
     Member.set_name("a1");
@@ -146,7 +146,7 @@
   void closeConnection(std::uint64_t Connection) {
     this->Gate.onDisconnect(Connection);
   }
-  /// Lets time go by for a loop that keeps up.
+  /// Advances the clock in steps, while the loop keeps up.
   void pass(std::chrono::milliseconds Time) {
     constexpr auto Step = 50ms;
     for (auto Passed = 0ms; Passed < Time; Passed += Step) {
@@ -156,14 +156,15 @@
         std::this_thread::sleep_for(1ms);
     }
   }
-  /// The process stands still for this long, and has nothing left to do after.
+  /// Advances the clock at once, as if the process was frozen. The loop is idle
+  /// afterwards.
   void freeze(std::chrono::milliseconds Time) {
     TimePoint Now = this->Source.Now.load() + Time;
     this->Source.Now.store(Now);
     while (this->Loop.lastIdle() != Now)
       std::this_thread::sleep_for(1ms);
   }
-  /// What the last dispatch allows; on the loop's thread.
+  /// Returns the value of the last dispatch, read on the loop's thread.
   std::optional<int> giveUpMs() {
     std::optional<int> Value;
     std::atomic<bool> Done{false};
@@ -175,7 +176,7 @@
       std::this_thread::sleep_for(1ms);
     return Value;
   }
-  /// Waits until the loop has done what was posted before.
+  /// Waits until the loop has run all work posted before.
   void settle() {
     std::atomic<bool> Done{false};
     this->Loop.post([&](Instant) { Done.store(true); });
@@ -205,13 +206,13 @@
 
 TEST_GROUP(CallerHandlerTest){};
 
-// An entry told a caller "404, no route" by a table 3.0 s old: version 6 had
-// been acknowledged at 2.042 s and the request was answered at 5.077 s. Others
-// took jobs as only an older version allows. News of the change had not been
-// read, or not come; the entry judged by its load alone whether it might have
-// missed news, and asked that only before a 404. So a request that the old
-// table served passed by, and so did a 404 while the loop was idle.
-TEST(CallerHandlerTest, AnOldTableNeitherServesNorDenies) {
+// Guards against decisions by a stale route table. An entry answered "404, no
+// route" 3.0 s after a newer version had been acknowledged, and others accepted
+// jobs that only an older version allowed. The update had not been read or not
+// arrived. The entry judged by its load alone whether it could have missed an
+// update, and only before a 404. So requests that the old table served were not
+// checked, nor was a 404 while the loop was idle.
+TEST(CallerHandlerTest, AStaleTableNeitherServesNorDeniesRoutes) {
   struct Row {
     const char *Name;
     void (HandlerFixture::*Prepare)();
@@ -228,19 +229,19 @@
        ""},
       {"current, unknown", &Bench::makeCurrent, HttpMethod::Post, Other, 404,
        "no route"},
-      {"old, known", &Bench::makeUnknown, HttpMethod::Post, Known, 503,
+      {"stale, known", &Bench::makeUnknown, HttpMethod::Post, Known, 503,
        "may be old"},
-      {"old, unknown", &Bench::makeUnknown, HttpMethod::Post, Other, 503,
+      {"stale, unknown", &Bench::makeUnknown, HttpMethod::Post, Other, 503,
        "may be old"},
-      {"old, unknown, read", &Bench::makeUnknown, HttpMethod::Get, Other, 503,
+      {"stale, unknown, read", &Bench::makeUnknown, HttpMethod::Get, Other, 503,
        "may be old"},
-      {"old, known, count", &Bench::makeUnknown, HttpMethod::Get, "/known/",
+      {"stale, known, count", &Bench::makeUnknown, HttpMethod::Get, "/known/",
        503, "may be old"},
-      {"cut off, known, count", &Bench::makeUnreachable, HttpMethod::Get,
+      {"unreachable, known, count", &Bench::makeUnreachable, HttpMethod::Get,
        "/known/", NoAnswer, ""},
-      {"cut off, known", &Bench::makeUnreachable, HttpMethod::Post, Known,
+      {"unreachable, known", &Bench::makeUnreachable, HttpMethod::Post, Known,
        NoAnswer, ""},
-      {"cut off, unknown", &Bench::makeUnreachable, HttpMethod::Post, Other,
+      {"unreachable, unknown", &Bench::makeUnreachable, HttpMethod::Post, Other,
        503, "may be new"},
   };
   for (const Row &Row : Rows) {
@@ -251,28 +252,28 @@
     if (!Answer)
       continue;
     STRCMP_CONTAINS_TEXT(Row.Reason, Answer->Body.c_str(), Row.Name);
-    // The caller's next attempt should find another entry.
+    // The caller's next attempt should reach another entry.
     CHECK_TEXT(Answer->Close == (Row.Expected == 503), Row.Name);
     CHECK_TEXT((Answer->RetryAfter > 0ms) == (Row.Expected == 503), Row.Name);
   }
 }
 
-// A caller that hands its job in again on another connection joins the job
-// that runs. The end of the first connection, read only then, stopped the job,
-// so that the second connection was told that its caller had gone.
-TEST(CallerHandlerTest, ACallerThatLeavesEndsAJobOnlyIfNobodyElseAwaitsIt) {
+// A caller that submits its job again on another connection joins the running
+// job. If the end of the first connection was read only after that, it stopped
+// the job, and the second connection was answered that its caller had gone.
+TEST(CallerHandlerTest, ADisconnectStopsAJobOnlyIfNoOtherCallerWaits) {
   struct Row {
     const char *Name;
     std::vector<std::uint64_t> Leaving;
     bool IsStopped;
   };
   const Row Rows[] = {
-      {"nobody leaves", {}, false},
-      {"the first leaves", {1}, false},
-      {"the second leaves", {2}, false},
-      {"the first is said to leave twice", {1, 1}, false},
-      {"both leave", {1, 2}, true},
-      {"both leave, in the other order", {2, 1}, true},
+      {"no disconnect", {}, false},
+      {"the first disconnects", {1}, false},
+      {"the second disconnects", {2}, false},
+      {"the first is reported to disconnect twice", {1, 1}, false},
+      {"both disconnect", {1, 2}, true},
+      {"both disconnect, in the other order", {2, 1}, true},
   };
   const char *Known = "/known/00000000000000a1";
   for (const Row &Row : Rows) {
@@ -285,7 +286,7 @@
     for (std::uint64_t Connection : Row.Leaving)
       Bench.closeConnection(Connection);
     Bench.pass(3050ms);
-    // By a table that may be old, only a job that runs can be joined.
+    // With a table that may be stale, only a running job can be joined.
     Bench.makeUnknown();
     auto Third = Bench.send(HttpMethod::Post, Known);
     Bench.settle();
@@ -294,8 +295,8 @@
   }
 }
 
-// 503 says that a job has not run and never will.
-TEST(CallerHandlerTest, AnOldTableDoesNotDenyThatAJobHasRun) {
+// 503 means that a job has not run and never will.
+TEST(CallerHandlerTest, AStaleTableDoesNotDenyThatAJobHasRun) {
   struct Row {
     const char *Name;
     bool HasAgent;
@@ -311,9 +312,9 @@
       {"ended", false, false, &Bench::makeUnknown, Known, 504},
       {"in flight", true, false, &Bench::makeUnknown, Known, NoAnswer},
       {"being stopped", true, true, &Bench::makeUnknown, Known, 504},
-      {"by another route, old", false, false, &Bench::makeUnknown, Dropped,
+      {"by another route, stale", false, false, &Bench::makeUnknown, Dropped,
        504},
-      {"by another route, cut off", false, false, &Bench::makeUnreachable,
+      {"by another route, unreachable", false, false, &Bench::makeUnreachable,
        Dropped, 504},
       {"by another route, current", false, false, &Bench::makeCurrent, Dropped,
        404},
@@ -339,9 +340,9 @@
   }
 }
 
-// Deadlines of jobs reach some 17 s, while ids were remembered for 5 to 10 s.
-// A job still under way after that was told that it has not run.
-TEST(CallerHandlerTest, AJobIsRememberedAsLongAsItMayBeUnderWay) {
+// Deadlines of jobs reach about 17 s, but ids were kept only for 5 to 10 s. The
+// resubmission of a job still running after that was answered as not run.
+TEST(CallerHandlerTest, AJobIdIsKeptAsLongAsTheJobMayRun) {
   const char *Long = "/known/00000000000000a1";
   HandlerFixture Bench;
   Bench.addAgent();
@@ -350,7 +351,7 @@
   auto First = Bench.send(HttpMethod::Post, Long);
   Bench.settle();
   LONGS_EQUAL(NoAnswer, statusOf(First->answer()));
-  // Other jobs come meanwhile.
+  // Other jobs arrive meanwhile.
   for (const char *Other :
        {"/known/00000000000000b1", "/known/00000000000000b2"}) {
     Bench.pass(6000ms);
@@ -364,16 +365,17 @@
   LONGS_EQUAL(NoAnswer, statusOf(Second->answer()));
 }
 
-// A caller counts its deadline, 3,000 ms here, from when it sent its request.
-// An entry that counted it from when it read the request went on for longer
-// than its caller waited, beside the caller's next hand-in elsewhere.
+// A caller counts its deadline, 3,000 ms here, from the time of its request. An
+// entry that counted from the time at which it read the request continued the
+// job after its caller had given up, while the caller's next submission ran
+// elsewhere.
 TEST(CallerHandlerTest, TheDeadlineCountsFromTheRequestsArrival) {
   struct Row {
     const char *Name;
     std::chrono::milliseconds Frozen;
-    /// Of that time, with the whole host.
+    /// The part of Frozen during which the whole host was suspended.
     std::chrono::milliseconds Suspended;
-    /// After the process went on.
+    /// From the end of the freeze until the request is read.
     std::chrono::milliseconds ReadAfter;
     std::optional<RequestAge> Age;
     bool HasClient;
@@ -407,7 +409,14 @@
        {}},
       {"followed by another, first to be read", 2000ms, 0ms, 0ms,
        AtLeast(500ms), true, NoAnswer, 1000},
-      {"the host does not tell", 2000ms, 0ms, 0ms, {}, true, NoAnswer, 1000},
+      {"the host does not report an age",
+       2000ms,
+       0ms,
+       0ms,
+       {},
+       true,
+       NoAnswer,
+       1000},
       {"the same, too long", 4000ms, 0ms, 0ms, {}, true, 503, {}},
       {"the same, read after the backlog",
        4000ms,
@@ -445,8 +454,8 @@
   }
 }
 
-// 503 says that a job never runs.
-TEST(CallerHandlerTest, AJobTakenBeforeIsNotPlacedForACallerThatWaitsNoMore) {
+// 503 means that a job never runs, which can't be said of one accepted before.
+TEST(CallerHandlerTest, AnAcceptedJobIsNotPlacedAfterItsCallersDeadline) {
   HandlerFixture Bench;
   Bench.makeCurrent();
   Bench.Loop.start();
@@ -466,8 +475,8 @@
   LONGS_EQUAL(504, statusOf(Second->answer()));
 }
 
-// A request that has been read may wait for the loop.
-TEST(CallerHandlerTest, TheDeadlineGoesOnWhileTheLoopDoesNotRun) {
+// A request that has been read may have to wait for the loop.
+TEST(CallerHandlerTest, TheDeadlineCountsWhileTheLoopIsBlocked) {
   struct Row {
     const char *Name;
     std::chrono::milliseconds Waited;
--- a/tests/platform/codec_test.cpp
+++ b/tests/platform/codec_test.cpp
@@ -63,7 +63,7 @@
   const char *Field;
 };
 
-/// \returns the field that decoding complained of; empty if it did not.
+/// \returns the field and text of the decoding error; empty if there was none.
 std::string complaint(const std::function<void()> &Decode) {
   try {
     Decode();
@@ -129,7 +129,7 @@
                 });
 }
 
-TEST(CodecTest, KindsThatAreNotServedAreNamed) {
+TEST(CodecTest, UnsupportedFeaturesAreNamed) {
   struct Row {
     const char *Pointer;
     json Value;
@@ -240,8 +240,8 @@
       [](const std::string &Body) { decodeConfig(Body); });
 }
 
-// It is written again by recursion, which takes stack for each level.
-TEST(CodecTest, AConfigurationThatNestsTooDeepIsRefused) {
+// A configuration is serialized by recursion, which uses stack for each level.
+TEST(CodecTest, AConfigurationNestedTooDeeplyIsRefused) {
   std::string Good = configBody().dump();
   Good.pop_back();
   auto Nested = [&](std::size_t Depth) {
@@ -253,7 +253,7 @@
                   complaint([&] { decodeConfig(Nested(100)); }).c_str());
   STRCMP_CONTAINS("levels",
                   complaint([&] { decodeConfig(Nested(500000)); }).c_str());
-  // What stands in a string is no level.
+  // Brackets in a string do not count as levels.
   std::string Text = Good + R"(,"x":"\"[)" + std::string(100, '[') + "\"}";
   STRCMP_EQUAL("", complaint([&] { decodeConfig(Text); }).c_str());
 }
@@ -309,7 +309,7 @@
         R"({"born":null})", R"({"born":true})", R"({"born":[1]})",
         R"({"born":1180591620717411303424})"})
     CHECK_FALSE_TEXT(complaint([&] { decodeReply(200, Bad); }).empty(), Bad);
-  // A row that cannot be read is counted, and is none of the rows that were.
+  // A row that cannot be decoded is counted and not returned.
   for (const char *Bad :
        {R"({"running":[[1,2,"",0]]})", R"({"ended":[[1,"a",2,"done"]]})",
         R"({"ended":[["1","a",2,"done",""]]})"}) {
@@ -319,11 +319,11 @@
   }
 }
 
-// A start that was answered by 500, 502 or 504 was taken for one that had not
-// begun, and its task was started at another upstream beside it. Whoever makes
-// such an answer, a proxy on the way or an upstream that failed midway, does
-// not say that nothing was done; only the statuses that the protocol names do.
-TEST(CodecTest, AStatusThatIsNotNamedProvesNothing) {
+// A start that was answered with 500, 502 or 504 was assumed not to have run,
+// and its task was started at another upstream as well. Such an answer may come
+// from a proxy or from an upstream that failed midway, and does not prove that
+// nothing was done. Only the statuses that the protocol names prove it.
+TEST(CodecTest, AnUnspecifiedStatusProvesNothing) {
   for (long Status :
        {0L, 204L, 302L, 404L, 408L, 413L, 500L, 502L, 504L, 599L}) {
     std::string Name = "status " + std::to_string(Status);
@@ -333,7 +333,7 @@
   }
 }
 
-TEST(CodecTest, RunsAreReadBackAsTheyWereWritten) {
+TEST(CodecTest, TaskNamesRoundTrip) {
   RunKey Run{"5c0e7a21d94b36f8", 17, 2};
   STRCMP_EQUAL("5c0e7a21d94b36f8.0.0.17", taskName(Run).c_str());
   CHECK(parseTaskName(taskName(Run), 2) == Run);
--- a/tests/platform/late_request_test.cpp
+++ b/tests/platform/late_request_test.cpp
@@ -1,4 +1,4 @@
-//===- An entry's gate behind a server that reads late --------------------===//
+//===- Submissions to an entry whose server reads them late ---------------===//
 
 #include "http/http_server.h"
 #include "platform/caller_handler.h"
@@ -32,7 +32,7 @@
   std::vector<peer::LeasedDispatch> Dispatches;
 };
 
-/// Holds the server's thread on /hold, and passes on all else.
+/// Blocks the server's thread on /hold, and passes on all other requests.
 class HoldingHandler final : public HttpHandler {
 public:
   explicit HoldingHandler(HttpHandler &Target) : Target(Target) {}
@@ -98,7 +98,7 @@
   }
   void teardown() override { Loop.stop(); }
 
-  /// Does this on the loop, after all that was posted before, and waits.
+  /// Runs the work on the loop, after all work posted before, and waits for it.
   void onLoop(const EventLoop::Work &Item) {
     std::promise<void> Done;
     Loop.post([&](Instant Now) {
@@ -125,8 +125,8 @@
   }
 };
 
-// All threads of the process stand still while requests come.
-TEST(LateRequestTest, WhatIsReadLateHasLessTimeLeftOrNone) {
+// All threads of the process are blocked while requests arrive.
+TEST(LateRequestTest, TimeUnreadCountsAgainstTheDeadline) {
   std::uint16_t Port = freeHttpPort();
   auto Holding = std::make_shared<HoldingHandler>(Gate);
   HttpServer Server({.Listen = "127.0.0.1:" + std::to_string(Port),
--- a/tests/platform/reply_rows_test.cpp
+++ b/tests/platform/reply_rows_test.cpp
@@ -1,4 +1,4 @@
-//===- Rows of a worker's replies that cannot be read ---------------------===//
+//===- Rows of worker replies that cannot be decoded ----------------------===//
 
 #include "agent/worker_session.h"
 #include "core/error.h"
@@ -44,7 +44,8 @@
   std::map<std::uint32_t, RunOutcome> Ends;
 };
 
-/// A reply as a client passes it on: one that cannot be read is none.
+/// Returns a reply as the client passes it on: an unanswered one if it cannot
+/// be decoded.
 WorkerReply replyOf(const std::string &Running, const std::string &Ended) {
   try {
     return decodeReply(
@@ -98,7 +99,7 @@
     for (const RunKey &Run : Called)
       Session->onStopReply({Incarnation}, Run, replyOf("", ""), Now);
   }
-  /// Gives the same reply to each call for ends during this time.
+  /// Gives the same reply to each hold call during this time.
   void holdFor(std::chrono::milliseconds Time, const std::string &Running,
                const std::string &Ended) {
     for (TimePoint End = Now.Steady + Time; Now.Steady < End; pass(Step)) {
@@ -111,9 +112,10 @@
   }
 };
 
-// A worker forgets all ends up to an acknowledged one: that which could not be
-// read would be lost, and its run would hold its room for good.
-TEST(ReplyRowsTest, OneBadEndHidesNoOthersAndIsNotAcknowledged) {
+// A worker discards all ended runs up to the acknowledged one. An end that
+// could not be decoded would be lost, and its run would keep its capacity
+// forever.
+TEST(ReplyRowsTest, AnUnreadableEndHidesNoOthersAndIsNotAcknowledged) {
   struct Row {
     const char *Bad;
     std::uint64_t Acknowledged;
@@ -150,9 +152,9 @@
   }
 }
 
-// The worker tells it with each reply at once, so calls would follow each other
-// without a pause.
-TEST(ReplyRowsTest, CallsForEndsPauseAfterABadEnd) {
+// The worker returns the unreadable end at once with each reply, so calls would
+// follow each other without a pause.
+TEST(ReplyRowsTest, HoldCallsPauseAfterAnUnreadableEnd) {
   startRuns(1);
   std::size_t Before = Port.Holds.size();
   hold(R"(["a.0.0.0",1,"",0])", "[2]");
@@ -162,23 +164,23 @@
   CHECK(Session->isReady());
 }
 
-TEST(ReplyRowsTest, ARunWhoseEndStaysUnreadableEndsOnceItIsNotListed) {
+TEST(ReplyRowsTest, ARunWithAnUnreadableEndEndsOnceItIsNotListed) {
   startRuns(2);
   const char *Running = R"(["a.0.0.0",1,"",0])";
   const char *Ended = R"([1,"a.0.0.1",1,7,""],[2,"b.0.0.0",1,"done",""])";
   holdFor(1000ms, Running, Ended);
-  // A later reply may tell it legibly.
+  // A later reply may have the end in readable form.
   LONGS_EQUAL(2, Session->runs());
   LONGS_EQUAL(0, Port.Holds.back().AcknowledgedEnd);
   holdFor(4000ms, Running, Ended);
   CHECK(hasEnded(1, RunOutcome::Other));
   LONGS_EQUAL(2, Port.Holds.back().AcknowledgedEnd);
-  // The other goes on, under its lease.
+  // The other run continues under its lease.
   LONGS_EQUAL(1, Session->runs());
   CHECK(Port.Holds.back().LeaseUntil.has_value());
 }
 
-TEST(ReplyRowsTest, ABadEndsNumberAcknowledgesNothing) {
+TEST(ReplyRowsTest, TheNumberOfAnUnreadableEndAcknowledgesNothing) {
   startRuns(1);
   const char *Running = R"(["a.0.0.0",1,"",0])";
   holdFor(4000ms, Running, R"([3,"b.0.0.0",1,"done",""],[900000,7])");
@@ -187,8 +189,9 @@
   CHECK(hasEnded(0, RunOutcome::Done));
 }
 
-// It would go on under the leases that this agent gives.
-TEST(ReplyRowsTest, WhatRunsUnreadHasLapsedBeforeAWorkerIsReady) {
+// An unreadable run would otherwise continue under the leases that this agent
+// grants.
+TEST(ReplyRowsTest, UnreadableRunsExpireBeforeAWorkerIsReady) {
   const char *Rows[] = {R"([7,1,"",0])", R"(["b.0.0.0","1","",0])",
                         R"(["b.0.0.0",1.5,"",0])", R"(["b.0.0.0"])", R"("x")"};
   for (const char *Bad : Rows) {
--- a/tests/platform/worker_client_test.cpp
+++ b/tests/platform/worker_client_test.cpp
@@ -24,11 +24,12 @@
 constexpr const char *MisdirectedResponse =
     "HTTP/1.1 421 Misdirected\r\nContent-Length: 2\r\n\r\n{}";
 
-/// A worker on loopback. It answers its first call, takes the second and ends
-/// that connection in place of an answer; what it does next, a test says.
+/// A worker on loopback. It answers its first call, reads the second and closes
+/// the connection instead of answering. What it does next depends on the test.
 class DisconnectingWorker {
 public:
-  /// \param Later Its answer to calls on later connections; null takes none.
+  /// \param Later The answer to calls on later connections; if null, it accepts
+  /// no further connections.
   explicit DisconnectingWorker(const char *Later) : Later(Later) {
     this->Listener = ::socket(AF_INET, SOCK_STREAM, 0);
     sockaddr_in Address{};
@@ -63,7 +64,8 @@
     if (readCall(First))
       answer(First, AcceptedResponse);
     readCall(First);
-    // Before the connection ends, so that nobody connects in between.
+    // Stop listening before closing the connection, so that no client connects
+    // in between.
     if (this->Later == nullptr)
       ::shutdown(this->Listener, SHUT_RDWR);
     ::close(First);
@@ -76,11 +78,11 @@
       ::close(Next);
     }
   }
-  /// \returns false if the caller has closed.
+  /// \returns false if the caller closed the connection.
   static bool readCall(int Connection) {
     std::string Text;
     char Part[4096];
-    // The body of a call is one object, and the only text with braces.
+    // The body of a call is one JSON object, and only the body has braces.
     while (Text.empty() || Text.back() != '}') {
       ssize_t Bytes = ::recv(Connection, Part, sizeof Part, 0);
       if (Bytes <= 0)
@@ -102,7 +104,7 @@
   std::thread Thread;
 };
 
-/// Keeps the replies for a test to await.
+/// Collects the replies, for which a test can wait.
 class CollectingReplies final : public WorkerReplies {
 public:
   void onStart(const WorkerIncarnation &, const RunKey &,
@@ -144,7 +146,7 @@
   return Profile;
 }
 
-/// Long enough for a busy machine: no call of these tests may time out.
+/// Timeouts long enough that no call times out on a busy machine.
 WorkerClientOptions patientOptions() {
   WorkerClientOptions Options;
   Options.CallTimeout = 5000ms;
@@ -164,16 +166,16 @@
 
 TEST_GROUP(WorkerClientTest){};
 
-// The worker has read the start and may have begun it: whatever is heard on
-// another connection is no proof that it has not.
-TEST(WorkerClientTest, AStartWhoseConnectionBrokeIsNotProvedUnstarted) {
+// The worker has read the start and may have started the run. No response on
+// another connection proves that it has not.
+TEST(WorkerClientTest, AStartWithABrokenConnectionMayHaveRun) {
   struct Row {
     const char *Name;
     const char *Later;
   };
-  const Row Rows[] = {{"the worker is gone", nullptr},
-                      {"the worker is unwell", UnavailableResponse},
-                      {"another life is there", MisdirectedResponse}};
+  const Row Rows[] = {{"the worker has ended", nullptr},
+                      {"the worker is unavailable", UnavailableResponse},
+                      {"another incarnation answers", MisdirectedResponse}};
   for (const Row &Row : Rows) {
     DisconnectingWorker Worker(Row.Later);
     CollectingReplies Replies;
@@ -186,7 +188,7 @@
   }
 }
 
-TEST(WorkerClientTest, AStartThatFoundNoConnectionHasNotBegun) {
+TEST(WorkerClientTest, AStartWithoutAConnectionHasNotRun) {
   std::string Nowhere;
   {
     DisconnectingWorker Worker(nullptr);
@@ -201,8 +203,8 @@
   CHECK(Reply.Refusal == WorkerRefusal::Unhealthy);
 }
 
-// Stops and requests for ends do the same when they arrive twice.
-TEST(WorkerClientTest, AStopWhoseConnectionBrokeIsSentAgain) {
+// Stop and hold calls are idempotent, so they may arrive twice.
+TEST(WorkerClientTest, AStopWithABrokenConnectionIsSentAgain) {
   DisconnectingWorker Worker(AcceptedResponse);
   CollectingReplies Replies;
   WorkerClient Client(patientOptions(), Replies);
