--- a/tests/platform/caller_handler_test.cpp
+++ b/tests/platform/caller_handler_test.cpp
@@ -120,10 +120,10 @@
     Member.mutable_room()->set_cpu_milli(4000);
     Member.mutable_room()->set_memory_mb(1000);
     this->Coordinator.onMember(Member, this->Source.now());
-    peer::Message Heard;
-    Heard.mutable_worker_load()->set_incarnation(Incarnation);
-    Heard.mutable_worker_load()->set_stamp(1);
-    this->Coordinator.onMessage({"a1", "10.0.0.1:1"}, Heard,
+    peer::Message Report;
+    Report.mutable_worker_load()->set_incarnation(Incarnation);
+    Report.mutable_worker_load()->set_stamp(1);
+    this->Coordinator.onMessage({"a1", "10.0.0.1:1"}, Report,
                                 this->Source.now());
   }
   std::shared_ptr<RecordingReply> send(HttpMethod Method,
--- a/tests/platform/late_request_test.cpp
+++ b/tests/platform/late_request_test.cpp
@@ -118,10 +118,10 @@
     Member.mutable_room()->set_cpu_milli(4000);
     Member.mutable_room()->set_memory_mb(4000);
     Coordinator.onMember(Member, Now);
-    peer::Message Told;
-    Told.mutable_worker_load()->set_incarnation(Incarnation);
-    Told.mutable_worker_load()->set_stamp(1);
-    Coordinator.onMessage({"a", "10.0.0.1:1"}, Told, Now);
+    peer::Message Report;
+    Report.mutable_worker_load()->set_incarnation(Incarnation);
+    Report.mutable_worker_load()->set_stamp(1);
+    Coordinator.onMessage({"a", "10.0.0.1:1"}, Report, Now);
   }
 };
 
