--- a/main/seeded_control_process.cpp
+++ b/main/seeded_control_process.cpp
@@ -5,7 +5,7 @@
 #include "http/metrics_page.h"
 #include "main/lease_wiring.h"
 #include "main/process.h"
-#include "platform/control_gate.h"
+#include "platform/config_handler.h"
 #include "platform/node_settings.h"
 #include "transport/link_node.h"
 
@@ -108,7 +108,7 @@
       Operators({.Listen = Plan.ControlListen,
                  .Threads = 1,
                  .MaxBodyBytes = MaxBodyBytes},
-                std::make_shared<platform::ControlGate>(
+                std::make_shared<platform::ConfigHandler>(
                     this->Node.loop(), this->Service, this->Replica)),
       MetricsServer({.Listen = Plan.MetricsListen, .Threads = 1},
                     this->Metrics) {
--- a/tests/platform/entry_gate_test.cpp
+++ b/tests/platform/caller_handler_test.cpp
@@ -1,4 +1,4 @@
-#include "platform/entry_gate.h"
+#include "platform/caller_handler.h"
 
 #include <mutex>
 #include <optional>
@@ -14,7 +14,7 @@
 
 namespace {
 
-class SetClock final : public Clock {
+class ManualClock final : public Clock {
 public:
   Instant now() const override {
     return {this->Now.load(), fromUnixMillis(1800000000000)};
@@ -26,8 +26,8 @@
   std::atomic<Duration> Suspended{Duration(0)};
 };
 
-/// Lets the loop look for work all the time.
-class RestlessWaiter final : public LoopWaiter {
+/// Never blocks for long, so that the loop polls for work.
+class PollingWaiter final : public LoopWaiter {
 public:
   bool wait(Duration) override {
     std::this_thread::sleep_for(1ms);
@@ -36,17 +36,17 @@
   void wake() override {}
 };
 
-class GiveUpSink final : public PeerSink {
+class DispatchSink final : public PeerSink {
 public:
   void send(const PeerRef &, peer::Message Message) override {
     if (Message.has_leased_dispatch())
       this->GiveUpMs = Message.leased_dispatch().give_up_ms();
   }
-  /// Of the last dispatch; none while nothing was dispatched.
+  /// Of the last dispatch; empty while nothing was dispatched.
   std::optional<int> GiveUpMs;
 };
 
-class KeptReply final : public HttpReply {
+class RecordingReply final : public HttpReply {
 public:
   void send(const HttpAnswer &NewAnswer) override {
     std::lock_guard Lock(this->Mutex);
@@ -58,7 +58,7 @@
   }
   std::optional<RequestAge> age() const override { return this->Age; }
   bool hasClient() const override { return this->HasClient; }
-  /// As the host tells it.
+  /// The age that the host reports.
   std::optional<RequestAge> Age;
   bool HasClient = true;
 
@@ -67,15 +67,15 @@
   std::optional<HttpAnswer> Answer;
 };
 
-/// No answer, as the request was taken.
+/// No answer, since the request was accepted.
 constexpr int NoAnswer = 0;
-constexpr std::uint64_t Life = 9;
+constexpr std::uint64_t Incarnation = 9;
 
-/// An entry's gate and what it rests on. Its loop had nothing left to do when
-/// this was made, and runs only where a test starts it.
-class GateBench {
+/// A CallerHandler and its dependencies. The event loop was idle when the
+/// fixture was created, and runs only if a test starts it.
+class HandlerFixture {
 public:
-  GateBench() {
+  HandlerFixture() {
     peer::CatalogUpdate Update;
     Update.set_revision(5);
     Update.mutable_routes()->set_version(5);
@@ -91,46 +91,48 @@
     this->Table.setHeldRevision(5);
     this->Gate.connect(this->Loop, this->Coordinator);
   }
-  ~GateBench() { this->Loop.stop(); }
+  ~HandlerFixture() { this->Loop.stop(); }
 
   TimePoint ago(std::chrono::milliseconds Time) const {
     return this->Source.now().Steady - Time;
   }
   void makeCurrent() { this->Table.confirm(this->ago(100ms)); }
-  /// News may lie unread, or be missing.
+  /// Updates of the route table may be unread or missing.
   void makeUnknown() {
     this->Table.confirm(this->ago(3000ms));
     this->Table.tick(this->ago(0ms));
   }
-  /// All of control has been asked in vain.
+  /// No control replica has answered.
   void makeUnreachable() {
     this->Table.confirm(this->ago(3000ms));
     this->Table.tick(this->ago(0ms));
     this->Table.setNoLeaderSince(this->ago(1000ms));
   }
-  /// Room for a job of one task, of an agent that has been heard.
+  /// Adds an agent that has reported capacity for a job of one task.
   void addAgent() {
     peer::Member Member;
     Member.set_name("a1");
     Member.set_role(peer::ROLE_AGENT);
     Member.set_state(peer::MEMBER_ALIVE);
-    Member.set_incarnation(Life);
+    Member.set_incarnation(Incarnation);
     Member.set_address("10.0.0.1:1");
     Member.set_pool("pool");
     Member.mutable_room()->set_cpu_milli(4000);
     Member.mutable_room()->set_memory_mb(1000);
     this->Coordinator.onMember(Member, this->Source.now());
-    peer::Message Heard;
-    Heard.mutable_worker_load()->set_incarnation(Life);
-    Heard.mutable_worker_load()->set_stamp(1);
-    this->Coordinator.onMessage({"a1", "10.0.0.1:1"}, Heard,
+    peer::Message Report;
+    Report.mutable_worker_load()->set_incarnation(Incarnation);
+    Report.mutable_worker_load()->set_stamp(1);
+    this->Coordinator.onMessage({"a1", "10.0.0.1:1"}, Report,
                                 this->Source.now());
   }
-  std::shared_ptr<KeptReply> send(HttpMethod Method, const std::string &Path) {
-    return this->send(Method, Path, std::make_shared<KeptReply>());
+  std::shared_ptr<RecordingReply> send(HttpMethod Method,
+                                       const std::string &Path) {
+    return this->send(Method, Path, std::make_shared<RecordingReply>());
   }
-  std::shared_ptr<KeptReply> send(HttpMethod Method, const std::string &Path,
-                                  std::shared_ptr<KeptReply> Reply) {
+  std::shared_ptr<RecordingReply> send(HttpMethod Method,
+                                       const std::string &Path,
+                                       std::shared_ptr<RecordingReply> Reply) {
     HttpRequest Request;
     Request.Method = Method;
     Request.Resource = Path;
@@ -144,7 +146,7 @@
   void closeConnection(std::uint64_t Connection) {
     this->Gate.onDisconnect(Connection);
   }
-  /// Lets time go by for a loop that keeps up.
+  /// Advances the clock in steps, while the loop keeps up.
   void pass(std::chrono::milliseconds Time) {
     constexpr auto Step = 50ms;
     for (auto Passed = 0ms; Passed < Time; Passed += Step) {
@@ -154,14 +156,15 @@
         std::this_thread::sleep_for(1ms);
     }
   }
-  /// The process stands still for this long, and has nothing left to do after.
+  /// Advances the clock at once, as if the process was frozen. The loop is idle
+  /// afterwards.
   void freeze(std::chrono::milliseconds Time) {
     TimePoint Now = this->Source.Now.load() + Time;
     this->Source.Now.store(Now);
     while (this->Loop.lastIdle() != Now)
       std::this_thread::sleep_for(1ms);
   }
-  /// What the last dispatch allows; on the loop's thread.
+  /// Returns the value of the last dispatch, read on the loop's thread.
   std::optional<int> giveUpMs() {
     std::optional<int> Value;
     std::atomic<bool> Done{false};
@@ -173,7 +176,7 @@
       std::this_thread::sleep_for(1ms);
     return Value;
   }
-  /// Waits until the loop has done what was posted before.
+  /// Waits until the loop has run all work posted before.
   void settle() {
     std::atomic<bool> Done{false};
     this->Loop.post([&](Instant) { Done.store(true); });
@@ -181,16 +184,16 @@
       std::this_thread::sleep_for(1ms);
   }
 
-  SetClock Source;
+  ManualClock Source;
   NodeCatalog Catalog;
   TableLease Table{TableLeaseOptions{1750ms, 1000ms}};
-  RestlessWaiter Waiter;
+  PollingWaiter Waiter;
   EventLoop Loop{Source, Waiter, 20ms, [](Instant) {}, [] {}};
 
 private:
-  GiveUpSink Sink;
+  DispatchSink Sink;
   SelfLoad Load{SelfLoadOptions()};
-  EntryGate Gate{Catalog, Source, Load, Table};
+  CallerHandler Gate{Catalog, Source, Load, Table};
   LeaseCoordinator Coordinator{{}, Sink, Gate};
   std::uint64_t Connections = 0;
 };
@@ -201,18 +204,18 @@
 
 } // namespace
 
-TEST_GROUP(EntryGateTest){};
+TEST_GROUP(CallerHandlerTest){};
 
-// An entry told a caller "404, no route" by a table 3.0 s old: version 6 had
-// been acknowledged at 2.042 s and the request was answered at 5.077 s. Others
-// took jobs as only an older version allows. News of the change had not been
-// read, or not come; the entry judged by its load alone whether it might have
-// missed news, and asked that only before a 404. So a request that the old
-// table served passed by, and so did a 404 while the loop was idle.
-TEST(EntryGateTest, AnOldTableNeitherServesNorDenies) {
+// Guards against decisions by a stale route table. An entry answered "404, no
+// route" 3.0 s after a newer version had been acknowledged, and others accepted
+// jobs that only an older version allowed. The update had not been read or not
+// arrived. The entry judged by its load alone whether it could have missed an
+// update, and only before a 404. So requests that the old table served were not
+// checked, nor was a 404 while the loop was idle.
+TEST(CallerHandlerTest, AStaleTableNeitherServesNorDeniesRoutes) {
   struct Row {
     const char *Name;
-    void (GateBench::*Prepare)();
+    void (HandlerFixture::*Prepare)();
     HttpMethod Method;
     const char *Path;
     int Expected;
@@ -220,61 +223,61 @@
   };
   const char *Known = "/known/00000000000000a1";
   const char *Other = "/other/00000000000000a1";
-  using Bench = GateBench;
+  using Bench = HandlerFixture;
   const Row Rows[] = {
       {"current, known", &Bench::makeCurrent, HttpMethod::Post, Known, NoAnswer,
        ""},
       {"current, unknown", &Bench::makeCurrent, HttpMethod::Post, Other, 404,
        "no route"},
-      {"old, known", &Bench::makeUnknown, HttpMethod::Post, Known, 503,
+      {"stale, known", &Bench::makeUnknown, HttpMethod::Post, Known, 503,
        "may be old"},
-      {"old, unknown", &Bench::makeUnknown, HttpMethod::Post, Other, 503,
+      {"stale, unknown", &Bench::makeUnknown, HttpMethod::Post, Other, 503,
        "may be old"},
-      {"old, unknown, read", &Bench::makeUnknown, HttpMethod::Get, Other, 503,
+      {"stale, unknown, read", &Bench::makeUnknown, HttpMethod::Get, Other, 503,
        "may be old"},
-      {"old, known, count", &Bench::makeUnknown, HttpMethod::Get, "/known/",
+      {"stale, known, count", &Bench::makeUnknown, HttpMethod::Get, "/known/",
        503, "may be old"},
-      {"cut off, known, count", &Bench::makeUnreachable, HttpMethod::Get,
+      {"unreachable, known, count", &Bench::makeUnreachable, HttpMethod::Get,
        "/known/", NoAnswer, ""},
-      {"cut off, known", &Bench::makeUnreachable, HttpMethod::Post, Known,
+      {"unreachable, known", &Bench::makeUnreachable, HttpMethod::Post, Known,
        NoAnswer, ""},
-      {"cut off, unknown", &Bench::makeUnreachable, HttpMethod::Post, Other,
+      {"unreachable, unknown", &Bench::makeUnreachable, HttpMethod::Post, Other,
        503, "may be new"},
   };
   for (const Row &Row : Rows) {
-    GateBench Bench;
+    HandlerFixture Bench;
     (Bench.*Row.Prepare)();
     auto Answer = Bench.send(Row.Method, Row.Path)->answer();
     LONGS_EQUAL_TEXT(Row.Expected, statusOf(Answer), Row.Name);
     if (!Answer)
       continue;
     STRCMP_CONTAINS_TEXT(Row.Reason, Answer->Body.c_str(), Row.Name);
-    // The caller's next attempt should find another entry.
+    // The caller's next attempt should reach another entry.
     CHECK_TEXT(Answer->Close == (Row.Expected == 503), Row.Name);
     CHECK_TEXT((Answer->RetryAfter > 0ms) == (Row.Expected == 503), Row.Name);
   }
 }
 
-// A caller that hands its job in again on another connection joins the job
-// that runs. The end of the first connection, read only then, stopped the job,
-// so that the second connection was told that its caller had gone.
-TEST(EntryGateTest, ACallerThatLeavesEndsAJobOnlyIfNobodyElseAwaitsIt) {
+// A caller that submits its job again on another connection joins the running
+// job. If the end of the first connection was read only after that, it stopped
+// the job, and the second connection was answered that its caller had gone.
+TEST(CallerHandlerTest, ADisconnectStopsAJobOnlyIfNoOtherCallerWaits) {
   struct Row {
     const char *Name;
     std::vector<std::uint64_t> Leaving;
     bool IsStopped;
   };
   const Row Rows[] = {
-      {"nobody leaves", {}, false},
-      {"the first leaves", {1}, false},
-      {"the second leaves", {2}, false},
-      {"the first is said to leave twice", {1, 1}, false},
-      {"both leave", {1, 2}, true},
-      {"both leave, in the other order", {2, 1}, true},
+      {"no disconnect", {}, false},
+      {"the first disconnects", {1}, false},
+      {"the second disconnects", {2}, false},
+      {"the first is reported to disconnect twice", {1, 1}, false},
+      {"both disconnect", {1, 2}, true},
+      {"both disconnect, in the other order", {2, 1}, true},
   };
   const char *Known = "/known/00000000000000a1";
   for (const Row &Row : Rows) {
-    GateBench Bench;
+    HandlerFixture Bench;
     Bench.addAgent();
     Bench.makeCurrent();
     Bench.Loop.start();
@@ -283,7 +286,7 @@
     for (std::uint64_t Connection : Row.Leaving)
       Bench.closeConnection(Connection);
     Bench.pass(3050ms);
-    // By a table that may be old, only a job that runs can be joined.
+    // With a table that may be stale, only a running job can be joined.
     Bench.makeUnknown();
     auto Third = Bench.send(HttpMethod::Post, Known);
     Bench.settle();
@@ -292,32 +295,32 @@
   }
 }
 
-// 503 says that a job has not run and never will.
-TEST(EntryGateTest, AnOldTableDoesNotDenyThatAJobHasRun) {
+// 503 means that a job has not run and never will.
+TEST(CallerHandlerTest, AStaleTableDoesNotDenyThatAJobHasRun) {
   struct Row {
     const char *Name;
     bool HasAgent;
     bool CallerGone;
-    void (GateBench::*Prepare)();
+    void (HandlerFixture::*Prepare)();
     const char *Path;
     int Expected;
   };
   const char *Known = "/known/00000000000000a1";
   const char *Dropped = "/dropped/00000000000000a1";
-  using Bench = GateBench;
+  using Bench = HandlerFixture;
   const Row Rows[] = {
       {"ended", false, false, &Bench::makeUnknown, Known, 504},
       {"in flight", true, false, &Bench::makeUnknown, Known, NoAnswer},
       {"being stopped", true, true, &Bench::makeUnknown, Known, 504},
-      {"by another route, old", false, false, &Bench::makeUnknown, Dropped,
+      {"by another route, stale", false, false, &Bench::makeUnknown, Dropped,
        504},
-      {"by another route, cut off", false, false, &Bench::makeUnreachable,
+      {"by another route, unreachable", false, false, &Bench::makeUnreachable,
        Dropped, 504},
       {"by another route, current", false, false, &Bench::makeCurrent, Dropped,
        404},
   };
   for (const Row &Row : Rows) {
-    GateBench Bench;
+    HandlerFixture Bench;
     if (Row.HasAgent)
       Bench.addAgent();
     Bench.makeCurrent();
@@ -337,18 +340,18 @@
   }
 }
 
-// Deadlines of jobs reach some 17 s, while ids were remembered for 5 to 10 s.
-// A job still under way after that was told that it has not run.
-TEST(EntryGateTest, AJobIsRememberedAsLongAsItMayBeUnderWay) {
+// Deadlines of jobs reach about 17 s, but ids were kept only for 5 to 10 s. The
+// resubmission of a job still running after that was answered as not run.
+TEST(CallerHandlerTest, AJobIdIsKeptAsLongAsTheJobMayRun) {
   const char *Long = "/known/00000000000000a1";
-  GateBench Bench;
+  HandlerFixture Bench;
   Bench.addAgent();
   Bench.makeCurrent();
   Bench.Loop.start();
   auto First = Bench.send(HttpMethod::Post, Long);
   Bench.settle();
   LONGS_EQUAL(NoAnswer, statusOf(First->answer()));
-  // Other jobs come meanwhile.
+  // Other jobs arrive meanwhile.
   for (const char *Other :
        {"/known/00000000000000b1", "/known/00000000000000b2"}) {
     Bench.pass(6000ms);
@@ -362,16 +365,17 @@
   LONGS_EQUAL(NoAnswer, statusOf(Second->answer()));
 }
 
-// A caller counts its deadline, 3,000 ms here, from when it sent its request.
-// An entry that counted it from when it read the request went on for longer
-// than its caller waited, beside the caller's next hand-in elsewhere.
-TEST(EntryGateTest, TheDeadlineCountsFromTheRequestsArrival) {
+// A caller counts its deadline, 3,000 ms here, from the time of its request. An
+// entry that counted from the time at which it read the request continued the
+// job after its caller had given up, while the caller's next submission ran
+// elsewhere.
+TEST(CallerHandlerTest, TheDeadlineCountsFromTheRequestsArrival) {
   struct Row {
     const char *Name;
     std::chrono::milliseconds Frozen;
-    /// Of that time, with the whole host.
+    /// The part of Frozen during which the whole host was suspended.
     std::chrono::milliseconds Suspended;
-    /// After the process went on.
+    /// From the end of the freeze until the request is read.
     std::chrono::milliseconds ReadAfter;
     std::optional<RequestAge> Age;
     bool HasClient;
@@ -405,7 +409,14 @@
        {}},
       {"followed by another, first to be read", 2000ms, 0ms, 0ms,
        AtLeast(500ms), true, NoAnswer, 1000},
-      {"the host does not tell", 2000ms, 0ms, 0ms, {}, true, NoAnswer, 1000},
+      {"the host does not report an age",
+       2000ms,
+       0ms,
+       0ms,
+       {},
+       true,
+       NoAnswer,
+       1000},
       {"the same, too long", 4000ms, 0ms, 0ms, {}, true, 503, {}},
       {"the same, read after the backlog",
        4000ms,
@@ -423,7 +434,7 @@
   };
   const char *Known = "/known/00000000000000a1";
   for (const Row &Row : Rows) {
-    GateBench Bench;
+    HandlerFixture Bench;
     Bench.addAgent();
     Bench.Loop.start();
     Bench.Source.Suspended.store(Row.Suspended);
@@ -432,7 +443,7 @@
     Bench.pass(Row.ReadAfter);
     Bench.addAgent();
     Bench.makeCurrent();
-    auto Reply = std::make_shared<KeptReply>();
+    auto Reply = std::make_shared<RecordingReply>();
     Reply->Age = Row.Age;
     Reply->HasClient = Row.HasClient;
     Bench.send(HttpMethod::Post, Known, Reply);
@@ -443,9 +454,9 @@
   }
 }
 
-// 503 says that a job never runs.
-TEST(EntryGateTest, AJobTakenBeforeIsNotPlacedForACallerThatWaitsNoMore) {
-  GateBench Bench;
+// 503 means that a job never runs, which can't be said of one accepted before.
+TEST(CallerHandlerTest, AnAcceptedJobIsNotPlacedAfterItsCallersDeadline) {
+  HandlerFixture Bench;
   Bench.makeCurrent();
   Bench.Loop.start();
   const char *Known = "/known/00000000000000a1";
@@ -457,15 +468,15 @@
   Bench.freeze(4000ms);
   Bench.addAgent();
   Bench.makeCurrent();
-  auto Second = std::make_shared<KeptReply>();
+  auto Second = std::make_shared<RecordingReply>();
   Second->Age = RequestAge{3500ms, 3500ms};
   Bench.send(HttpMethod::Post, Known, Second);
   CHECK_FALSE(Bench.giveUpMs().has_value());
   LONGS_EQUAL(504, statusOf(Second->answer()));
 }
 
-// A request that has been read may wait for the loop.
-TEST(EntryGateTest, TheDeadlineGoesOnWhileTheLoopDoesNotRun) {
+// A request that has been read may have to wait for the loop.
+TEST(CallerHandlerTest, TheDeadlineCountsWhileTheLoopIsBlocked) {
   struct Row {
     const char *Name;
     std::chrono::milliseconds Waited;
@@ -478,7 +489,7 @@
   };
   const char *Known = "/known/00000000000000a1";
   for (const Row &Row : Rows) {
-    GateBench Bench;
+    HandlerFixture Bench;
     Bench.addAgent();
     Bench.makeCurrent();
     auto Reply = Bench.send(HttpMethod::Post, Known);
--- a/tests/platform/late_request_test.cpp
+++ b/tests/platform/late_request_test.cpp
@@ -1,7 +1,7 @@
-//===- An entry's gate behind a server that reads late --------------------===//
+//===- Submissions to an entry whose server reads them late ---------------===//
 
 #include "http/http_server.h"
-#include "platform/entry_gate.h"
+#include "platform/caller_handler.h"
 #include "platform/job_codec.h"
 #include "tests/support/http_caller.h"
 #include "tests/support/plain_waiter.h"
@@ -20,7 +20,7 @@
 
 namespace {
 
-constexpr std::uint64_t Life = 9;
+constexpr std::uint64_t Incarnation = 9;
 constexpr std::chrono::milliseconds Pause{600};
 
 class DispatchSink final : public PeerSink {
@@ -32,7 +32,7 @@
   std::vector<peer::LeasedDispatch> Dispatches;
 };
 
-/// Holds the server's thread on /hold, and passes on all else.
+/// Blocks the server's thread on /hold, and passes on all other requests.
 class HoldingHandler final : public HttpHandler {
 public:
   explicit HoldingHandler(HttpHandler &Target) : Target(Target) {}
@@ -75,7 +75,7 @@
   SelfLoad Load{SelfLoadOptions()};
   NodeCatalog Catalog;
   TableLease Table{TableLeaseOptions()};
-  EntryGate Gate{Catalog, Source, Load, Table};
+  CallerHandler Gate{Catalog, Source, Load, Table};
   DispatchSink Sink;
   LeaseCoordinator Coordinator{CoordinatorOptions(), Sink, Gate};
 
@@ -98,7 +98,7 @@
   }
   void teardown() override { Loop.stop(); }
 
-  /// Does this on the loop, after all that was posted before, and waits.
+  /// Runs the work on the loop, after all work posted before, and waits for it.
   void onLoop(const EventLoop::Work &Item) {
     std::promise<void> Done;
     Loop.post([&](Instant Now) {
@@ -112,26 +112,26 @@
     Member.set_name("a");
     Member.set_role(peer::ROLE_AGENT);
     Member.set_state(peer::MEMBER_ALIVE);
-    Member.set_incarnation(Life);
+    Member.set_incarnation(Incarnation);
     Member.set_address("10.0.0.1:1");
     Member.set_pool("pool");
     Member.mutable_room()->set_cpu_milli(4000);
     Member.mutable_room()->set_memory_mb(4000);
     Coordinator.onMember(Member, Now);
-    peer::Message Told;
-    Told.mutable_worker_load()->set_incarnation(Life);
-    Told.mutable_worker_load()->set_stamp(1);
-    Coordinator.onMessage({"a", "10.0.0.1:1"}, Told, Now);
+    peer::Message Report;
+    Report.mutable_worker_load()->set_incarnation(Incarnation);
+    Report.mutable_worker_load()->set_stamp(1);
+    Coordinator.onMessage({"a", "10.0.0.1:1"}, Report, Now);
   }
 };
 
-// All threads of the process stand still while requests come.
-TEST(LateRequestTest, WhatIsReadLateHasLessTimeLeftOrNone) {
+// All threads of the process are blocked while requests arrive.
+TEST(LateRequestTest, TimeUnreadCountsAgainstTheDeadline) {
   std::uint16_t Port = freeHttpPort();
   auto Holding = std::make_shared<HoldingHandler>(Gate);
   HttpServer Server({.Listen = "127.0.0.1:" + std::to_string(Port),
                      .Threads = 1,
-                     .Headers = EntryGate::headers()},
+                     .Headers = CallerHandler::headers()},
                     Holding);
   Caller First(Port);
   First.connect();
