--- a/tests/control/entry_table_test.cpp
+++ b/tests/control/entry_table_test.cpp
@@ -21,7 +21,7 @@
 #include <optional>
 #include <vector>
 
-// Last: it redefines new.
+// Must be included last: it redefines new.
 #include <CppUTest/TestHarness.h>
 
 using namespace yardwheel;
--- a/tests/control/seeded_cluster_test.cpp
+++ b/tests/control/seeded_cluster_test.cpp
@@ -2,7 +2,7 @@
 
 #include "tests/control/seeded_cluster.h"
 
-// Last: it redefines new.
+// Must be included last: it redefines new.
 #include <CppUTest/TestHarness.h>
 
 using namespace yardwheel;
--- a/tests/settings/file_watch_test.cpp
+++ b/tests/settings/file_watch_test.cpp
@@ -4,7 +4,7 @@
 #include <fstream>
 #include <unistd.h>
 
-// Last: it redefines new.
+// Must be included last: it redefines new.
 #include <CppUTest/TestHarness.h>
 
 using namespace yardwheel;
