--- a/tests/settings/file_watch_test.cpp
+++ b/tests/settings/file_watch_test.cpp
@@ -4,7 +4,7 @@
 #include <fstream>
 #include <unistd.h>
 
-// Last: it redefines new.
+// Must be included last: it redefines new.
 #include <CppUTest/TestHarness.h>
 
 using namespace yardwheel;
@@ -17,7 +17,7 @@
   void teardown() override { std::filesystem::remove(Path); }
 };
 
-TEST(FileWatchTest, OnlyAnotherReadableContentIsAChange) {
+TEST(FileWatchTest, OnlyDifferentReadableContentIsAChange) {
   struct Row {
     const char *Content;
     bool Expected;
