--- a/core/input_progress.h
+++ b/core/input_progress.h
@@ -16,13 +16,13 @@
 
 /// Whether a process reads its input at \p Now, and did since \p Watched, when
 /// it was last looked at; the least time if it never was.
-/// \param LongSpell After so long without reading all, news may lie unread.
+/// \param MaxGap After so long without reading all, news may lie unread.
 inline bool keepsUp(TimePoint Now, TimePoint Watched, TimePoint LastIdle,
-                    std::chrono::milliseconds LongSpell) {
+                    std::chrono::milliseconds MaxGap) {
   // A process that wakes may look idle before it has read anything; that it
   // was not watched meanwhile gives it away.
-  return Watched != TimePoint::min() && Now - Watched <= LongSpell &&
-         Now - LastIdle <= LongSpell;
+  return Watched != TimePoint::min() && Now - Watched <= MaxGap &&
+         Now - LastIdle <= MaxGap;
 }
 
 } // namespace yardwheel
--- a/core/logger.cpp
+++ b/core/logger.cpp
@@ -20,7 +20,7 @@
 
 /// What a busy process may write: enough for a line a job at several hundred
 /// jobs a second, and at about 10 us a line well under 1 % of a core.
-constexpr std::uint32_t DefaultBudget = 500;
+constexpr std::uint32_t DefaultLinesPerSecond = 500;
 /// Seconds of the budget that may be saved up for a burst.
 constexpr double BurstSeconds = 2;
 
@@ -35,23 +35,23 @@
   void setBudget(std::uint32_t LinesPerSecond) {
     std::lock_guard Lock(this->Mutex);
     this->PerSecond = LinesPerSecond;
-    this->Saved = this->PerSecond * BurstSeconds;
+    this->Tokens = this->PerSecond * BurstSeconds;
   }
 
   void write(std::string Line) {
     std::lock_guard Lock(this->Mutex);
-    if (!this->takeToken() || !canTake()) {
+    if (!this->takeToken() || !isWritable()) {
       this->Dropped.fetch_add(1);
       return;
     }
-    std::uint64_t Unsaid = this->Dropped.load() - this->Told;
-    if (Unsaid > 0)
-      Line += fmt::format(R"(,"dropped_lines":{})", Unsaid);
+    std::uint64_t Unreported = this->Dropped.load() - this->ReportedDropped;
+    if (Unreported > 0)
+      Line += fmt::format(R"(,"dropped_lines":{})", Unreported);
     Line += "}\n";
     // One call, so that lines of several threads do not mix.
     ssize_t Written = ::write(STDOUT_FILENO, Line.data(), Line.size());
     if (Written == static_cast<ssize_t>(Line.size()))
-      this->Told += Unsaid;
+      this->ReportedDropped += Unreported;
     else
       this->Dropped.fetch_add(1);
   }
@@ -63,26 +63,26 @@
     auto Now = std::chrono::steady_clock::now();
     std::chrono::duration<double> Passed = Now - this->Refilled;
     this->Refilled = Now;
-    this->Saved = std::min(this->Saved + Passed.count() * this->PerSecond,
-                           this->PerSecond * BurstSeconds);
-    if (this->Saved < 1)
+    this->Tokens = std::min(this->Tokens + Passed.count() * this->PerSecond,
+                            this->PerSecond * BurstSeconds);
+    if (this->Tokens < 1)
       return false;
-    this->Saved -= 1;
+    this->Tokens -= 1;
     return true;
   }
 
-  static bool canTake() {
+  static bool isWritable() {
     pollfd Output{STDOUT_FILENO, POLLOUT, 0};
     return ::poll(&Output, 1, 0) == 1 && (Output.revents & POLLOUT) != 0;
   }
 
   std::mutex Mutex;
-  double PerSecond = DefaultBudget;
-  double Saved = DefaultBudget * BurstSeconds;
+  double PerSecond = DefaultLinesPerSecond;
+  double Tokens = DefaultLinesPerSecond * BurstSeconds;
   std::chrono::steady_clock::time_point Refilled =
       std::chrono::steady_clock::now();
   std::atomic<std::uint64_t> Dropped{0};
-  std::uint64_t Told = 0;
+  std::uint64_t ReportedDropped = 0;
 };
 
 LineWriter &writer() {
--- a/tests/support/plain_waiter.h
+++ b/tests/support/plain_waiter.h
@@ -16,10 +16,10 @@
 
 class PlainWaiter final : public LoopWaiter {
 public:
-  bool wait(Duration Longest) override {
+  bool wait(Duration MaxWait) override {
     std::unique_lock Lock(this->Mutex);
     bool Came =
-        this->Changed.wait_for(Lock, Longest, [this] { return this->Woken; });
+        this->Changed.wait_for(Lock, MaxWait, [this] { return this->Woken; });
     this->Woken = false;
     return !Came;
   }
--- a/tests/transport/link_pool_test.cpp
+++ b/tests/transport/link_pool_test.cpp
@@ -82,7 +82,7 @@
 TEST(LinkPoolTest, ASilentStreamIsReportedAndReplaced) {
   std::string Front = freeAddress();
   LinkOptions Options;
-  Options.SilentAfter = 300ms;
+  Options.SilenceTimeout = 300ms;
   TestNode Server("a", peer::ROLE_AGENT, freeAddress());
   SilentProxy Proxy(Front, Server.Address);
   TestNode Client("e", peer::ROLE_ENTRY, freeAddress(), 1, Options);
@@ -115,7 +115,7 @@
 // words of the same peer that are older.
 TEST(LinkPoolTest, AProcessThatWasBehindReplacesNoStream) {
   LinkOptions Options;
-  Options.SilentAfter = 300ms;
+  Options.SilenceTimeout = 300ms;
   TestNode Server("a", peer::ROLE_AGENT, freeAddress());
   TestNode Client("e", peer::ROLE_ENTRY, freeAddress(), 1, Options);
   Client.sendWhole("a", Server.Address);
--- a/transport/completion_waiter.cpp
+++ b/transport/completion_waiter.cpp
@@ -17,13 +17,13 @@
     static_cast<CompletionTag *>(Tag)->onShutDown();
 }
 
-bool CompletionWaiter::wait(Duration Longest) {
+bool CompletionWaiter::wait(Duration MaxWait) {
   void *Tag = nullptr;
   bool Ok = false;
   // On the steady clock: the time of day may jump.
   gpr_timespec Deadline =
       gpr_time_add(gpr_now(GPR_CLOCK_MONOTONIC),
-                   gpr_time_from_micros(Longest.count(), GPR_TIMESPAN));
+                   gpr_time_from_micros(MaxWait.count(), GPR_TIMESPAN));
   auto Status = this->Queue->AsyncNext(&Tag, &Ok, Deadline);
   if (Status != grpc::CompletionQueue::GOT_EVENT)
     return true;
@@ -33,9 +33,9 @@
 
 void CompletionWaiter::wake() {
   // One wake that has not been seen yet is enough.
-  if (!this->Woken.Pending.exchange(true))
+  if (!this->WakeUp.Pending.exchange(true))
     this->Alarm.Set(this->Queue.get(), gpr_now(GPR_CLOCK_MONOTONIC),
-                    static_cast<CompletionTag *>(&this->Woken));
+                    static_cast<CompletionTag *>(&this->WakeUp));
 }
 
 } // namespace yardwheel
--- a/transport/completion_waiter.h
+++ b/transport/completion_waiter.h
@@ -36,7 +36,7 @@
   CompletionWaiter(const CompletionWaiter &) = delete;
   CompletionWaiter &operator=(const CompletionWaiter &) = delete;
 
-  bool wait(Duration Longest) override;
+  bool wait(Duration MaxWait) override;
   void wake() override;
   /// Ends all operations. No loop may wait any more, and what uses the queue
   /// must have been shut down or let go.
@@ -54,7 +54,7 @@
   };
 
   std::unique_ptr<grpc::CompletionQueue> Queue;
-  WakeTag Woken;
+  WakeTag WakeUp;
   grpc::Alarm Alarm;
   bool IsShutDown = false;
 };
--- a/transport/event_loop.cpp
+++ b/transport/event_loop.cpp
@@ -8,11 +8,11 @@
 
 /// Without an idle moment for this long, the loop looks for one whenever it
 /// has done what it knew of: a look costs a system call.
-constexpr std::chrono::milliseconds IdleLookAfter{40};
+constexpr std::chrono::milliseconds IdlePollThreshold{40};
 
 /// Without an idle moment for this long, the loop is behind. Twice the longest
 /// spell seen in a process that keeps up.
-constexpr std::chrono::milliseconds BehindAfter{100};
+constexpr std::chrono::milliseconds BehindThreshold{100};
 
 /// After the loop was behind, for other threads to have read what came
 /// meanwhile.
@@ -20,11 +20,11 @@
 
 /// The two clocks are read one after the other, so that a thread that loses its
 /// turn between them sees them apart by some milliseconds.
-constexpr std::chrono::milliseconds SuspensionNoticed{100};
+constexpr std::chrono::milliseconds MinSuspension{100};
 
 /// A round that begins this long after the one before is logged: half of the
 /// shortest lease that another process holds on this one's word.
-constexpr std::chrono::milliseconds StallNoticed{400};
+constexpr std::chrono::milliseconds MinLoggedStall{400};
 
 } // namespace
 
@@ -65,14 +65,15 @@
 
 TimePoint EventLoop::lastBehind() const {
   TimePoint Now = this->Source.now().Steady;
-  return Now - this->LastIdle.load() > BehindAfter ? Now
-                                                   : this->LastBehind.load();
+  return Now - this->LastIdle.load() > BehindThreshold
+             ? Now
+             : this->LastBehind.load();
 }
 
 std::optional<TimePoint> EventLoop::backlogSince() const {
   TimePoint Now = this->Source.now().Steady;
   std::lock_guard Lock(this->Mutex);
-  Pause Last = this->lastPause(Now);
+  Stall Last = this->lastStall(Now);
   bool IsRead =
       Last.Until == TimePoint::min() || Now - Last.Until > CatchUpTime;
   return IsRead ? std::nullopt : std::optional(Last.Since);
@@ -81,16 +82,16 @@
 Duration EventLoop::suspendedSince(TimePoint When) const {
   TimePoint Now = this->Source.now().Steady;
   std::lock_guard Lock(this->Mutex);
-  Pause Last = this->lastPause(Now);
+  Stall Last = this->lastStall(Now);
   return When < Last.Until ? Last.Suspended : Duration{0};
 }
 
-EventLoop::Pause EventLoop::lastPause(TimePoint Now) const {
+EventLoop::Stall EventLoop::lastStall(TimePoint Now) const {
   TimePoint Idle = this->LastIdle.load();
-  if (Now - Idle <= BehindAfter)
-    return this->LastPause;
+  if (Now - Idle <= BehindThreshold)
+    return this->LastStall;
   // What came in a longer one just before may not have been read either.
-  const Pause &Before = this->LastPause;
+  const Stall &Before = this->LastStall;
   bool Counts = Before.Until != TimePoint::min() &&
                 Now - Before.Until <= CatchUpTime &&
                 Before.Until - Before.Since > Now - Idle;
@@ -99,13 +100,13 @@
   Duration Ran = this->Source.runTime() - this->IdleRunTime;
   // The clocks are read one after the other.
   Duration Suspended = std::max(Now - Idle - Ran, Duration{0});
-  return {Idle, Now, Suspended < SuspensionNoticed ? Duration{0} : Suspended};
+  return {Idle, Now, Suspended < MinSuspension ? Duration{0} : Suspended};
 }
 
 void EventLoop::noteIdle(TimePoint Now) {
   std::lock_guard Lock(this->Mutex);
-  this->LastPause = this->lastPause(Now);
-  if (Now - this->LastIdle.load() > BehindAfter)
+  this->LastStall = this->lastStall(Now);
+  if (Now - this->LastIdle.load() > BehindThreshold)
     this->LastBehind.store(Now);
   this->LastIdle.store(Now);
   this->IdleRunTime = this->LastRunTime;
@@ -123,7 +124,7 @@
   Duration Passed = Now - this->LastRound;
   this->LastRound = Now;
   this->LastRunTime = RunTime;
-  if (Suspended < SuspensionNoticed)
+  if (Suspended < MinSuspension)
     return;
   ++this->Suspensions;
   this->Log.decision("host_suspended",
@@ -134,7 +135,7 @@
 
 void EventLoop::noteStall(TimePoint Now) {
   Duration Passed = Now - this->LastRound;
-  if (Passed < StallNoticed)
+  if (Passed < MinLoggedStall)
     return;
   this->Log.decision(
       "process_stalled",
@@ -144,12 +145,12 @@
 
 void EventLoop::run() {
   TimePoint NextTick = this->Source.now().Steady;
-  Duration Longest{0};
+  Duration MaxWait{0};
   std::deque<Work> Round;
   this->LastRound = NextTick;
   this->LastRunTime = this->Source.runTime();
   while (true) {
-    bool Idle = this->Waiter.wait(Longest);
+    bool Idle = this->Waiter.wait(MaxWait);
     if (!this->takeRound(Round))
       return;
     Instant Now = this->Source.now();
@@ -165,8 +166,8 @@
       NextTick = this->Source.now().Steady + this->Interval;
     }
     this->Flush();
-    bool LooksIdle = Now.Steady - this->LastIdle.load() < IdleLookAfter;
-    Longest = LooksIdle
+    bool RecentlyIdle = Now.Steady - this->LastIdle.load() < IdlePollThreshold;
+    MaxWait = RecentlyIdle
                   ? std::max(NextTick - this->Source.now().Steady, Duration{0})
                   : Duration{0};
   }
--- a/transport/event_loop.h
+++ b/transport/event_loop.h
@@ -59,7 +59,7 @@
 
 private:
   /// A time without an idle moment.
-  struct Pause {
+  struct Stall {
     TimePoint Since = TimePoint::min();
     TimePoint Until = TimePoint::min();
     /// Of it, while the host was suspended.
@@ -79,7 +79,7 @@
   bool Stopping = false;
   void noteIdle(TimePoint Now);
   /// With the pause under way, if there is one.
-  Pause lastPause(TimePoint Now) const;
+  Stall lastStall(TimePoint Now) const;
   /// A suspension takes the way of any other time in which this process stood
   /// still; it is only told apart for whoever reads the log.
   void noteSuspension(TimePoint Now);
@@ -94,7 +94,7 @@
   std::atomic<TimePoint> LastIdle;
   std::atomic<TimePoint> LastBehind{TimePoint::min()};
   /// Both under the lock.
-  Pause LastPause;
+  Stall LastStall;
   Duration IdleRunTime{0};
   std::thread Thread;
 };
--- a/transport/link_node.cpp
+++ b/transport/link_node.cpp
@@ -3,11 +3,11 @@
 namespace yardwheel {
 
 LinkNode::LinkNode(const LinkIdentity &Self, const LinkOptions &Options,
-                   const Clock &Source, std::chrono::milliseconds TickEvery)
+                   const Clock &Source, std::chrono::milliseconds TickInterval)
     : Source(Source), Server(Self),
       Links(Self, this->Server.waiter().queue(), Source, Options),
       Loop(
-          Source, this->Server.waiter(), TickEvery,
+          Source, this->Server.waiter(), TickInterval,
           [this](Instant Now) {
             this->Links.tick(Now.Steady, this->Loop.lastBehind());
             this->Handlers.Tick(Now);
--- a/transport/link_node.h
+++ b/transport/link_node.h
@@ -31,7 +31,7 @@
 public:
   /// \throws Error if the address cannot be bound.
   LinkNode(const LinkIdentity &Self, const LinkOptions &Options,
-           const Clock &Source, std::chrono::milliseconds TickEvery);
+           const Clock &Source, std::chrono::milliseconds TickInterval);
   ~LinkNode() { this->stop(); }
 
   /// Begins to take envelopes and to tick; nothing is called before.
--- a/transport/link_pool.cpp
+++ b/transport/link_pool.cpp
@@ -8,11 +8,11 @@
 namespace {
 
 /// A peer that does not read must not hold memory without bound.
-constexpr std::size_t MaxWaiting = 2000;
+constexpr std::size_t MaxQueuedEnvelopes = 2000;
 /// An envelope that grows beyond this is sent before the flush.
-constexpr std::size_t SplitBytes = MaxEnvelopeBytes / 4;
+constexpr std::size_t EarlySendBytes = MaxEnvelopeBytes / 4;
 /// Between two looks for silent streams.
-constexpr std::chrono::milliseconds LookEvery{100};
+constexpr std::chrono::milliseconds CheckInterval{100};
 
 } // namespace
 
@@ -64,16 +64,16 @@
   Target.Peer = To;
   Target.Queued.set_recipient(To.Node);
   if (Target.Queued.messages_size() == 0)
-    this->Dirty.push_back(&Target);
+    this->PendingFlush.push_back(&Target);
   Target.QueuedBytes += Message.ByteSizeLong();
   *Target.Queued.add_messages() = std::move(Message);
-  if (Target.QueuedBytes > SplitBytes)
+  if (Target.QueuedBytes > EarlySendBytes)
     this->transmit(Target);
 }
 
 void LinkPool::flush() {
   std::vector<Link *> Due;
-  std::swap(Due, this->Dirty);
+  std::swap(Due, this->PendingFlush);
   for (Link *Target : Due)
     if (Target->Queued.messages_size() > 0)
       this->transmit(*Target);
@@ -83,7 +83,7 @@
   auto Envelope = std::make_shared<peer::Envelope>();
   Envelope->Swap(&Target.Queued);
   Target.QueuedBytes = 0;
-  if (Target.Stream && Target.Stream->waiting() >= MaxWaiting) {
+  if (Target.Stream && Target.Stream->waiting() >= MaxQueuedEnvelopes) {
     this->Counters.Dropped += Envelope->messages_size();
     return;
   }
@@ -97,12 +97,12 @@
   Envelope->set_revision(this->Revision);
   Envelope->set_stream(Target.StreamId);
   Envelope->set_number(++Target.LastNumber);
-  Envelope->set_heard_stream(Target.HeardStream);
-  Envelope->set_heard_number(Target.HeardNumber);
+  Envelope->set_heard_stream(Target.ReceivedStream);
+  Envelope->set_heard_number(Target.ReceivedNumber);
   ++this->Counters.EnvelopesSent;
   this->Counters.MessagesSent += Envelope->messages_size();
   this->Counters.BytesSent += Envelope->ByteSizeLong();
-  Target.Unread.push_back(
+  Target.Unacked.push_back(
       {Target.LastNumber, this->Source.now().Steady, Envelope});
   ++Target.Unwritten;
   ++this->Unwritten;
@@ -127,7 +127,7 @@
   this->Unwritten -= Target.Unwritten;
   Target.Unwritten = 0;
   std::deque<Sent> Lost;
-  std::swap(Lost, Target.Unread);
+  std::swap(Lost, Target.Unacked);
   this->Counters.Failed += Lost.size();
   if (!this->Failure)
     return;
@@ -143,11 +143,11 @@
     return;
   Link &Target = Found->second;
   if (this->Source.now().Steady - Target.OpenedAt <
-      this->Options.ReconnectEvery)
+      this->Options.MinReconnectInterval)
     return;
   this->Log.decision("stream_replaced", {{"peer", To.Node},
                                          {"address", To.Address},
-                                         {"unread", Target.Unread.size()}});
+                                         {"unread", Target.Unacked.size()}});
   this->abandon(Target);
 }
 
@@ -158,44 +158,45 @@
   Link &From = this->linkTo(Envelope.sender_address());
   From.Peer.Address = Envelope.sender_address();
   // A later life has lower numbers after its clock was set back.
-  bool Newer = Envelope.sender_incarnation() != From.HeardLife ||
-               Envelope.stream() > From.HeardStream ||
-               (Envelope.stream() == From.HeardStream &&
-                Envelope.number() > From.HeardNumber);
+  bool Newer = Envelope.sender_incarnation() != From.PeerIncarnation ||
+               Envelope.stream() > From.ReceivedStream ||
+               (Envelope.stream() == From.ReceivedStream &&
+                Envelope.number() > From.ReceivedNumber);
   if (Newer) {
-    From.HeardLife = Envelope.sender_incarnation();
-    From.HeardStream = Envelope.stream();
-    From.HeardNumber = Envelope.number();
+    From.PeerIncarnation = Envelope.sender_incarnation();
+    From.ReceivedStream = Envelope.stream();
+    From.ReceivedNumber = Envelope.number();
   }
-  From.HeardAt = Now;
+  From.ReceivedAt = Now;
   if (Envelope.heard_stream() == From.StreamId)
-    while (!From.Unread.empty() &&
-           From.Unread.front().Number <= Envelope.heard_number())
-      From.Unread.pop_front();
+    while (!From.Unacked.empty() &&
+           From.Unacked.front().Number <= Envelope.heard_number())
+      From.Unacked.pop_front();
 }
 
 bool LinkPool::isSilent(const Link &Target, TimePoint Now,
                         TimePoint LastBehind) const {
-  if (!Target.Stream || Target.Unread.empty())
+  if (!Target.Stream || Target.Unacked.empty())
     return false;
   // What says that the peer has read may have lain here unread until then: one
   // busy entry replaced 22 sound streams in a second, and was later for it.
-  TimePoint Since = std::max(Target.Unread.front().At, LastBehind);
-  if (Now - Since < this->Options.SilentAfter)
+  TimePoint Since = std::max(Target.Unacked.front().At, LastBehind);
+  if (Now - Since < this->Options.SilenceTimeout)
     return false;
-  return Target.HeardAt >= Since + this->Options.SilentAfter;
+  return Target.ReceivedAt >= Since + this->Options.SilenceTimeout;
 }
 
 void LinkPool::tick(TimePoint Now, TimePoint LastBehind) {
-  if (Now < this->NextLook)
+  if (Now < this->NextCheck)
     return;
-  this->NextLook = Now + LookEvery;
+  this->NextCheck = Now + CheckInterval;
   for (auto &[Address, Target] : this->Links) {
     if (this->isSilent(Target, Now, LastBehind))
       this->reconnect(Target.Peer);
-    while (!Target.Unread.empty() && Target.Unwritten < Target.Unread.size() &&
-           Now - Target.Unread.front().At > this->Options.KeepFor)
-      Target.Unread.pop_front();
+    while (!Target.Unacked.empty() &&
+           Target.Unwritten < Target.Unacked.size() &&
+           Now - Target.Unacked.front().At > this->Options.UnackedRetention)
+      Target.Unacked.pop_front();
   }
 }
 
--- a/transport/link_pool.h
+++ b/transport/link_pool.h
@@ -60,13 +60,13 @@
   /// A peer that sends something this long after an envelope was sent to it,
   /// and has not read that one, is behind a stream that has gone silent. Many
   /// times what a busy peer takes to read.
-  std::chrono::milliseconds SilentAfter{1000};
+  std::chrono::milliseconds SilenceTimeout{1000};
   /// How long envelopes are kept that the peer has not said it has read. What
   /// is older is of no use to anybody.
-  std::chrono::milliseconds KeepFor{2000};
+  std::chrono::milliseconds UnackedRetention{2000};
   /// Between two connections to a peer that leaves messages unanswered: it may
   /// be slow, and a connection costs it time.
-  std::chrono::milliseconds ReconnectEvery{250};
+  std::chrono::milliseconds MinReconnectInterval{250};
 };
 
 /// Used by the loop's thread only, but where it says otherwise.
@@ -123,15 +123,15 @@
     peer::Envelope Queued;
     std::size_t QueuedBytes = 0;
     /// Sent on the present stream and not known to have been read.
-    std::deque<Sent> Unread;
+    std::deque<Sent> Unacked;
     /// Of these, not yet handed to the connection.
     std::size_t Unwritten = 0;
     /// The newest envelope read from the peer, and when. Its numbers can be
     /// compared only with those of the same life of the peer.
-    std::uint64_t HeardLife = 0;
-    std::uint64_t HeardStream = 0;
-    std::uint64_t HeardNumber = 0;
-    TimePoint HeardAt;
+    std::uint64_t PeerIncarnation = 0;
+    std::uint64_t ReceivedStream = 0;
+    std::uint64_t ReceivedNumber = 0;
+    TimePoint ReceivedAt;
     /// The peer refuses what is sent; told once, until a new stream.
     bool Refused = false;
   };
@@ -156,8 +156,8 @@
   std::uint64_t LastStreamId;
   std::map<std::string, Link> Links;
   /// Links with something queued.
-  std::vector<Link *> Dirty;
-  TimePoint NextLook;
+  std::vector<Link *> PendingFlush;
+  TimePoint NextCheck;
   std::atomic<std::size_t> Unwritten{0};
   LinkCounters Counters;
 };
--- a/transport/link_stream.cpp
+++ b/transport/link_stream.cpp
@@ -104,10 +104,10 @@
 
 void LinkStream::onFinished(bool) {
   --this->Pending;
-  Events *Hearer = this->Owner;
+  Events *Listener = this->Owner;
   this->Owner = nullptr;
-  if (Hearer != nullptr)
-    Hearer->onEnded(this->Status);
+  if (Listener != nullptr)
+    Listener->onEnded(this->Status);
   this->settle();
 }
 
--- a/transport/loop_waiter.h
+++ b/transport/loop_waiter.h
@@ -12,7 +12,7 @@
 
   /// Waits for a while or until woken, or handles one event of its own. A host
   /// that is suspended meanwhile waits longer. \returns whether nothing came.
-  virtual bool wait(Duration Longest) = 0;
+  virtual bool wait(Duration MaxWait) = 0;
 
   /// Ends the wait under way, or the next one; for any thread.
   virtual void wake() = 0;
