--- a/core/clock.h
+++ b/core/clock.h
@@ -1,8 +1,8 @@
 //===- core/clock.h - Time types and the clock interface --------*- C++ -*-===//
 ///
 /// \file
-/// Time as the decision code sees it. Nothing outside of the daemon's shell
-/// reads a clock: time points are handed in, so tests run in virtual time.
+/// The time types of the decision code. Only the daemon's outer layer reads a
+/// clock; other code is given time points, so that tests run in virtual time.
 ///
 //===----------------------------------------------------------------------===//
 #ifndef YARDWHEEL_CORE_CLOCK_H
@@ -15,50 +15,50 @@
 
 using Duration = std::chrono::microseconds;
 
-/// The time since the host was started, which goes on while it is suspended.
-/// All that is promised to other processes is measured by it: by a clock that
-/// stands still meanwhile, a lease of before a suspension would look as young
-/// as then, while others have been given what it was for.
+/// The time since the host was booted, including time spent suspended.
+/// Everything promised to other processes is measured by it. On a clock that
+/// stops during a suspension, a lease taken before would still look valid
+/// afterwards, although its resource may have been given to another process.
 class BootClock {
 public:
   using duration = std::chrono::nanoseconds;
   using rep = duration::rep;
   using period = duration::period;
   using time_point = std::chrono::time_point<BootClock>;
-  // The name that the standard library asks for.
+  // The name is required by the standard library.
   // NOLINTNEXTLINE(readability-identifier-naming)
   static constexpr bool is_steady = true;
 
-  /// \throws Error if the host has no such clock; there is none to take its
-  /// place.
+  /// \throws Error if the host has no such clock. No other clock can be used
+  /// instead.
   static time_point now();
 };
 
-/// A point on the host's boot clock; means nothing elsewhere.
+/// A point on the host's boot clock; has no meaning on other hosts.
 using TimePoint = std::chrono::time_point<BootClock, Duration>;
-/// A point on the wall clock, comparable between hosts within an allowance.
+/// A point on the wall clock; comparable between hosts within an allowance.
 using WallTime = std::chrono::sys_time<std::chrono::milliseconds>;
 
-/// Both clocks, read together.
+/// A reading of both clocks.
 struct Instant {
-  /// Never steps back, and counts suspensions.
+  /// Monotonic; includes time spent suspended.
   TimePoint Steady;
   WallTime Wall;
 };
 
-/// Whole milliseconds from one point to a later one, for logs and messages.
+/// Returns the whole milliseconds from \p From to \p To.
 inline std::int64_t millisBetween(TimePoint From, TimePoint To) {
   return std::chrono::duration_cast<std::chrono::milliseconds>(To - From)
       .count();
 }
 
-/// Source of time for the daemon's shell.
+/// The time source of the daemon's outer layer.
 class Clock {
 public:
   virtual ~Clock() = default;
   virtual Instant now() const = 0;
-  /// For how long the host has run, suspensions left out. Only to tell a
-  /// suspension from a process that stood still.
+  /// The time that the host has run, without suspensions. Used only to tell a
+  /// suspended host from a stalled process.
   virtual Duration runTime() const {
     return this->now().Steady.time_since_epoch();
   }
--- a/core/error.h
+++ b/core/error.h
@@ -1,8 +1,8 @@
-//===- core/error.h - Errors that say where they arose ----------*- C++ -*-===//
+//===- core/error.h - Exceptions with step and peer -------------*- C++ -*-===//
 ///
 /// \file
-/// The project's exception type. It carries the step and the peer at which an
-/// error arose, so that a report never needs guessing.
+/// The project's exception type. It carries the step that failed and the peer
+/// concerned, so that a report shows where the error arose.
 ///
 //===----------------------------------------------------------------------===//
 #ifndef YARDWHEEL_CORE_ERROR_H
@@ -15,7 +15,7 @@
 
 class Error : public std::runtime_error {
 public:
-  /// \param Step What was being done, as a short noun ("settings", "claim").
+  /// \param Step The operation that failed, as a noun ("settings", "claim").
   /// \param Peer The file, node or address concerned; may be empty.
   Error(std::string Step, std::string Peer, const std::string &Reason);
 
--- a/core/hash.h
+++ b/core/hash.h
@@ -1,7 +1,7 @@
 //===- core/hash.h - Stable hashes ------------------------------*- C++ -*-===//
 ///
 /// \file
-/// Hashes that are the same on every host and in every release, because
+/// Hashes with the same result on every host and in every release, because
 /// processes must agree on them.
 ///
 //===----------------------------------------------------------------------===//
@@ -13,7 +13,7 @@
 
 namespace yardwheel {
 
-/// 64-bit FNV-1a followed by a finalizer that spreads short inputs.
+/// 64-bit FNV-1a with a finalizer that improves the mixing of short inputs.
 std::uint64_t stableHash(std::string_view Text);
 
 /// Mixes another value into a hash.
--- a/core/input_progress.h
+++ b/core/input_progress.h
@@ -1,4 +1,4 @@
-//===- core/input_progress.h - How far input has been read ------*- C++ -*-===//
+//===- core/input_progress.h - Whether input is read in time ----*- C++ -*-===//
 #ifndef YARDWHEEL_CORE_INPUT_PROGRESS_H
 #define YARDWHEEL_CORE_INPUT_PROGRESS_H
 
@@ -6,21 +6,21 @@
 
 namespace yardwheel {
 
-/// How far a process has read its input.
+/// How well a process keeps up with its input.
 struct InputProgress {
-  /// When nothing was left to read.
+  /// The last time that no input was left to read.
   TimePoint LastIdle;
-  /// Until when it did not keep up.
+  /// The end of the last period in which the process was behind.
   TimePoint LastBehind = TimePoint::min();
 };
 
-/// Whether a process reads its input at \p Now, and did since \p Watched, when
-/// it was last looked at; the least time if it never was.
-/// \param MaxGap After so long without reading all, news may lie unread.
+/// Returns whether a process keeps up with its input at \p Now and has done so
+/// since \p Watched, the time of the last check (TimePoint::min() if none).
+/// \param MaxGap After a longer gap, new messages may still be unread.
 inline bool keepsUp(TimePoint Now, TimePoint Watched, TimePoint LastIdle,
                     std::chrono::milliseconds MaxGap) {
-  // A process that wakes may look idle before it has read anything; that it
-  // was not watched meanwhile gives it away.
+  // A process that has just been resumed may look idle before it has read
+  // anything. The long time since the last check shows that it was not running.
   return Watched != TimePoint::min() && Now - Watched <= MaxGap &&
          Now - LastIdle <= MaxGap;
 }
--- a/core/job_id.h
+++ b/core/job_id.h
@@ -1,9 +1,9 @@
-//===- core/job_id.h - Job ids that carry their first submission -*- C++
+//===- core/job_id.h - Job ids with their first submission time -*- C++
 //-*-===//
 ///
 /// \file
-/// A job id is a UUID of version 7 (RFC 9562), whose first 48 bits are the
-/// time of its first submission, or a plain key with that time beside it.
+/// A job id is either a UUID of version 7 (RFC 9562), whose first 48 bits are
+/// the time of its first submission, or a plain key with a separate time.
 ///
 //===----------------------------------------------------------------------===//
 #ifndef YARDWHEEL_CORE_JOB_ID_H
@@ -18,7 +18,7 @@
 
 namespace yardwheel {
 
-/// The longest plain key that is accepted, in bytes.
+/// The maximum length of a plain key, in bytes.
 constexpr std::size_t MaxKeyLength = 128;
 
 struct JobId {
@@ -26,14 +26,14 @@
   WallTime FirstSubmitted;
 };
 
-/// Parses a UUID of version 7; nothing if \p Text is anything else. The key
-/// is folded to lower case, so that both spellings name one job.
+/// Parses a UUID of version 7. Returns nullopt if \p Text is anything else. The
+/// key is converted to lower case, so that both spellings name the same job.
 std::optional<JobId> parseUuidV7(std::string_view Text);
 
-/// Makes a fresh id stamped \p Now.
+/// Makes a new id with the time \p Now.
 JobId makeUuidV7(WallTime Now, std::mt19937_64 &Random);
 
-/// Whether \p Key may serve as a plain key: 1 to MaxKeyLength letters,
+/// Returns whether \p Key is a valid plain key: 1 to MaxKeyLength letters,
 /// digits, '-', '_', '.' or ':'.
 bool isPlainKey(std::string_view Key);
 
--- a/core/log_histogram.cpp
+++ b/core/log_histogram.cpp
@@ -10,7 +10,7 @@
 }
 
 void LogHistogram::add(double Value) {
-  // The first bin begins at the low end, which rounding must not undercut.
+  // Rounding must not put a value below the start of the first bin.
   this->Inner(std::max(Value, this->Low));
 }
 
--- a/core/log_histogram.h
+++ b/core/log_histogram.h
@@ -1,8 +1,8 @@
-//===- core/log_histogram.h - Values on a logarithmic axis ------*- C++ -*-===//
+//===- core/log_histogram.h - Logarithmic histogram -------------*- C++ -*-===//
 ///
 /// \file
-/// A histogram with bins of equal width on a logarithmic axis, and its text in
-/// Prometheus' format. Not for use by two threads at once.
+/// A histogram with bins of equal width on a logarithmic axis, with output in
+/// Prometheus' text format. Not thread-safe.
 ///
 //===----------------------------------------------------------------------===//
 #ifndef YARDWHEEL_CORE_LOG_HISTOGRAM_H
@@ -22,15 +22,15 @@
     std::uint32_t Count = 0;
   };
 
-  /// \param Low Smaller values count as this.
+  /// \param Low Smaller values are counted as \p Low.
   LogHistogram(int Bins, double Low, double High);
 
   void add(double Value);
   LogHistogram &operator+=(const LogHistogram &Other);
 
-  /// The cells that are not empty, without those beyond the axis.
+  /// Returns the non-empty bins, without underflow and overflow.
   std::vector<Cell> cells() const;
-  /// Buckets, sum and count. \param Labels Such as `route="r"`.
+  /// Returns buckets, sum and count. \param Labels For example `route="r"`.
   std::string text(const std::string &Name, const std::string &Labels) const;
 
 private:
--- a/core/logger.cpp
+++ b/core/logger.cpp
@@ -18,10 +18,10 @@
                                                         "warning", "error"};
 std::atomic<LogLevel> LowestLevel{LogLevel::Info};
 
-/// What a busy process may write: enough for a line a job at several hundred
-/// jobs a second, and at about 10 us a line well under 1 % of a core.
+/// The rate limit of a process: enough for one line per job at several hundred
+/// jobs per second. At about 10 us per line this is well under 1 % of a core.
 constexpr std::uint32_t DefaultLinesPerSecond = 500;
-/// Seconds of the budget that may be saved up for a burst.
+/// The capacity of the token bucket, as seconds of the rate limit.
 constexpr double BurstSeconds = 2;
 
 std::string quote(const std::string &Text) {
@@ -29,7 +29,7 @@
                                    nlohmann::json::error_handler_t::replace);
 }
 
-/// Writes whole lines to standard output within the budget.
+/// Writes whole lines to standard output, rate-limited by a token bucket.
 class LineWriter {
 public:
   void setBudget(std::uint32_t LinesPerSecond) {
@@ -48,7 +48,7 @@
     if (Unreported > 0)
       Line += fmt::format(R"(,"dropped_lines":{})", Unreported);
     Line += "}\n";
-    // One call, so that lines of several threads do not mix.
+    // A single call, so that lines of several threads are not interleaved.
     ssize_t Written = ::write(STDOUT_FILENO, Line.data(), Line.size());
     if (Written == static_cast<ssize_t>(Line.size()))
       this->ReportedDropped += Unreported;
--- a/core/logger.h
+++ b/core/logger.h
@@ -1,12 +1,12 @@
 //===- core/logger.h - Structured lines on standard output ------*- C++ -*-===//
 ///
 /// \file
-/// Logs one JSON object a line to standard output. Every part of the system
-/// holds a Logger with its own fixed prefix; the level is one for the process.
+/// Logs one JSON object per line to standard output. Every part of the system
+/// has a Logger with its own fixed prefix; the level is shared by the process.
 ///
-/// A line never waits: what standard output does not take at once, and what
-/// exceeds the process's budget of lines, is dropped and counted, and the next
-/// line that is written says how many were.
+/// Logging never blocks. A line that standard output cannot accept at once, or
+/// that exceeds the rate limit of the process, is dropped. The next line that
+/// is written contains the number of dropped lines.
 ///
 //===----------------------------------------------------------------------===//
 #ifndef YARDWHEEL_CORE_LOGGER_H
@@ -28,7 +28,7 @@
 /// Parses "debug", "info", "warning" or "error".
 std::optional<LogLevel> parseLogLevel(std::string_view Text);
 
-/// A value of a log line, as JSON.
+/// A value in a log line, encoded as JSON.
 class LogValue {
 public:
   LogValue(const std::string &Text);
@@ -50,18 +50,18 @@
 
 class Logger {
 public:
-  /// \param Part The fixed prefix, for example "ledger".
+  /// \param Part The part of the system that logs, for example "ledger".
   explicit Logger(std::string Part) : Part(std::move(Part)) {}
 
-  /// Sets the lowest level that this process writes.
+  /// Sets the minimum level of the lines that this process writes.
   static void setLevel(LogLevel Level);
-  /// Sets how many lines a second this process writes, in the mean.
+  /// Sets the average number of lines per second that this process may write.
   static void setBudget(std::uint32_t LinesPerSecond);
-  /// Lines dropped since the process began.
+  /// Returns the number of lines dropped since the process started.
   static std::uint64_t dropped();
 
-  /// A decision that touches a request or changes what the process believes:
-  /// its name, its inputs with their age or version, and its outcome.
+  /// Logs a decision that affects a request or changes the process's view of
+  /// the system: its name, its inputs with their age or version, its outcome.
   void decision(const char *Name, std::initializer_list<LogField> Fields) const;
 
   template <typename... Args>
--- a/core/peer_sink.h
+++ b/core/peer_sink.h
@@ -1,8 +1,8 @@
-//===- core/peer_sink.h - Where messages to peers go ------------*- C++ -*-===//
+//===- core/peer_sink.h - Interface to send peer messages -------*- C++ -*-===//
 ///
 /// \file
-/// The outlet through which decision code sends messages. The daemon hands
-/// them to its links; tests and benches keep, delay, drop or repeat them.
+/// The interface through which decision code sends messages. The daemon sends
+/// them over its links; tests and benches store, delay, drop or repeat them.
 ///
 //===----------------------------------------------------------------------===//
 #ifndef YARDWHEEL_CORE_PEER_SINK_H
@@ -21,15 +21,15 @@
 class Message;
 } // namespace peer
 
-/// A process of the cluster and the IP number and port of its link.
+/// A process of the cluster and the IP address and port of its link.
 struct PeerRef {
   std::string Node;
   std::string Address;
-  /// The life that a message came from; 0 where that is not known.
+  /// The incarnation that sent a message; 0 if unknown.
   std::uint64_t Incarnation = 0;
 };
 
-/// Messages of which it is not known whether they have arrived.
+/// Messages that may not have arrived.
 struct Undelivered {
   PeerRef To;
   TimePoint SentAt;
@@ -39,10 +39,10 @@
 class PeerSink {
 public:
   virtual ~PeerSink() = default;
-  /// Sends without waiting. The message may be lost, late or doubled.
+  /// Sends without blocking. The message may be lost, delayed or duplicated.
   virtual void send(const PeerRef &To, peer::Message Message) = 0;
-  /// The peer leaves messages unanswered that it should have answered: its
-  /// connection may have gone silent, and later messages take another one.
+  /// Reports that the peer has left messages unanswered. Its connection may be
+  /// dead without having been reset, so later messages use a new one.
   virtual void reconnect(const PeerRef &) {}
 };
 
--- a/core/text.cpp
+++ b/core/text.cpp
@@ -6,7 +6,8 @@
 
 namespace {
 
-/// Length of the sequence that a byte begins, or 0 if it begins none.
+/// Returns the length of the sequence that starts with \p First, or 0 if none
+/// can.
 std::size_t sequenceLength(unsigned char First) {
   if (First < 0x80)
     return 1;
@@ -19,7 +20,7 @@
   return 0;
 }
 
-/// Whether a decoded value may not stand in UTF-8 at this length.
+/// Returns whether a decoded value is invalid in a sequence of this length.
 bool isForbidden(std::uint32_t Value, std::size_t Length) {
   bool Overlong =
       (Length == 3 && Value < 0x800) || (Length == 4 && Value < 0x10000);
--- a/tests/core/job_id_test.cpp
+++ b/tests/core/job_id_test.cpp
@@ -38,7 +38,7 @@
   STRCMP_EQUAL(Lower->Key.c_str(), Upper->Key.c_str());
 }
 
-TEST(JobIdTest, MadeIdsCarryTheirTime) {
+TEST(JobIdTest, GeneratedIdsContainTheirTime) {
   std::mt19937_64 Random(7);
   for (std::int64_t Millis : {0L, 1L, 1645557742000L, 0xffffffffffffL}) {
     JobId Made = makeUuidV7(fromUnixMillis(Millis), Random);
--- a/tests/core/text_test.cpp
+++ b/tests/core/text_test.cpp
@@ -6,7 +6,7 @@
 
 TEST_GROUP(TextTest){};
 
-TEST(TextTest, KnowsUtf8) {
+TEST(TextTest, AcceptsOnlyWellFormedUtf8) {
   struct Row {
     std::string Text;
     bool Good;
--- a/tests/transport/link_pool_test.cpp
+++ b/tests/transport/link_pool_test.cpp
@@ -5,7 +5,7 @@
 #include <atomic>
 #include <fmt/format.h>
 
-// Last: it redefines new.
+// Included last, as it redefines new.
 #include <CppUTest/TestHarness.h>
 
 using namespace yardwheel;
@@ -15,7 +15,7 @@
 
 constexpr std::chrono::milliseconds Tick{10};
 
-/// A node that counts what it reads and what it cannot deliver.
+/// A node that counts the messages that it receives and that it reports lost.
 class TestNode {
 public:
   TestNode(const char *Name, peer::Role Role, const std::string &Address,
@@ -40,7 +40,7 @@
       ++this->Sent;
     });
   }
-  /// Sends and waits until it has been handed on or has failed.
+  /// Sends a message and waits until it was written or has failed.
   void sendWhole(const char *To, const std::string &At) {
     int Before = this->Sent.load();
     this->send(To, At);
@@ -50,7 +50,7 @@
   }
 
   std::string Address;
-  /// Done for each envelope; set before the first can come.
+  /// Called for each envelope. To be set before the first one can arrive.
   std::function<void(const peer::Envelope &)> Work;
   std::atomic<int> Received{0};
   std::atomic<int> Lost{0};
@@ -65,9 +65,9 @@
 
 TEST_GROUP(LinkPoolTest){};
 
-// A host that has lost its disk comes back under a new name at its address.
-// While both names are known, messages to both are due at the same time.
-TEST(LinkPoolTest, NamesAtOneAddressGetEnvelopesOfTheirOwn) {
+// A host that has lost its disk returns under a new name at the same address.
+// While both names are known, messages to both may be queued at the same time.
+TEST(LinkPoolTest, NamesAtOneAddressGetSeparateEnvelopes) {
   TestNode Server("new", peer::ROLE_CONTROL, freeAddress(), 2);
   TestNode Client("c1", peer::ROLE_CONTROL, freeAddress());
   for (const char *Name : {"new", "old", "new", "old", "new"})
@@ -77,8 +77,8 @@
   CHECK(waitFor([&] { return Server.Received.load() == 4; }));
 }
 
-// A connection may go silent for good, without a reset, while new ones work.
-// Its peer goes on talking, and says that it has not read what was sent.
+// A connection may stop delivering without a reset, while new ones work. Its
+// peer still sends, but does not acknowledge what was sent to it.
 TEST(LinkPoolTest, ASilentStreamIsReportedAndReplaced) {
   std::string Front = freeAddress();
   LinkOptions Options;
@@ -86,13 +86,14 @@
   TestNode Server("a", peer::ROLE_AGENT, freeAddress());
   SilentProxy Proxy(Front, Server.Address);
   TestNode Client("e", peer::ROLE_ENTRY, freeAddress(), 1, Options);
-  // The client reaches the server by the proxy, but is reached directly.
+  // The client reaches the server through the proxy, the server reaches the
+  // client directly.
   Client.sendWhole("a", Front);
   CHECK(waitFor([&] { return Server.Received.load() == 1; }));
   Proxy.silence();
   Client.sendWhole("a", Front);
   LONGS_EQUAL(0, Client.Lost.load());
-  // It is asked for by name where its envelopes come from.
+  // Envelopes are matched to the stream by the sender's address.
   CHECK(waitFor([&] {
     Client.Node.loop().post([&](Instant Now) {
       peer::Envelope Answer;
@@ -108,11 +109,11 @@
   LONGS_EQUAL(2, Proxy.accepted());
 }
 
-// In bursts of callers entries replaced their streams to a third of their peers
-// within two seconds (22 of 66 at one entry in a second), control among them,
-// and lost the processor time and the questions that they were late with: what
-// says that a peer has read lies unread in a process that is behind, after
-// words of the same peer that are older.
+// A process that is behind has not yet read the acknowledgements of its peers,
+// but it may read older envelopes of the same peers, which looks like a dead
+// stream. During bursts of callers, entries replaced the streams to a third of
+// their peers within two seconds (22 of 66 at one entry in one second), also to
+// control. This cost CPU time and lost the requests that were already late.
 TEST(LinkPoolTest, AProcessThatWasBehindReplacesNoStream) {
   LinkOptions Options;
   Options.SilenceTimeout = 300ms;
@@ -132,7 +133,7 @@
   CHECK(waitFor([&] { return Over.load(); }));
   std::this_thread::sleep_for(100ms);
   LONGS_EQUAL(0, Client.Lost.load());
-  // Now it hears of what was read.
+  // Now the client gets the acknowledgement.
   Server.sendWhole("e", Client.Address);
   CHECK(waitFor([&] { return Client.Received.load() == 1; }));
   std::this_thread::sleep_for(500ms);
@@ -140,7 +141,7 @@
   LONGS_EQUAL(1, Client.Node.links().counters().StreamsOpened.load());
 }
 
-// Whoever misses an answer sooner than that may ask for another connection.
+// A caller that misses an answer earlier may request a new connection.
 TEST(LinkPoolTest, AStreamIsReplacedOnRequest) {
   std::string Front = freeAddress();
   TestNode Server("a", peer::ROLE_AGENT, freeAddress());
@@ -154,14 +155,15 @@
   Client.Node.loop().post([&](Instant) {
     Client.Node.links().reconnect({"a", Front});
   });
-  // Both are told: whether the first has arrived was never said.
+  // Both messages are reported, as the first was never acknowledged either.
   CHECK(waitFor([&] { return Client.Lost.load() == 2; }));
   Client.sendWhole("a", Front);
   CHECK(waitFor([&] { return Server.Received.load() == 2; }));
 }
 
-// Nobody has to be told of it beside the news that go the other way anyhow.
-TEST(LinkPoolTest, WhatThePeerHasReadIsNotReportedAsLost) {
+// Acknowledgements are part of the envelopes in the other direction; no
+// separate message is needed.
+TEST(LinkPoolTest, AcknowledgedEnvelopesAreNotReportedAsLost) {
   auto Server =
       std::make_unique<TestNode>("a", peer::ROLE_AGENT, freeAddress());
   TestNode Client("e", peer::ROLE_ENTRY, freeAddress());
@@ -178,9 +180,9 @@
   LONGS_EQUAL(1, Client.Lost.load());
 }
 
-// The same for a process that restarts after its clock was set back: the
-// numbers of its streams, which come from the clock, are lower than before.
-TEST(LinkPoolTest, WhatIsReadOfALifeWithLowerNumbersIsNotReportedAsLost) {
+// The same for a process that restarts after its clock was set back: its stream
+// numbers are derived from the clock, so they are lower than before.
+TEST(LinkPoolTest, AcknowledgesIncarnationsWithLowerStreamNumbers) {
   auto Server =
       std::make_unique<TestNode>("a", peer::ROLE_AGENT, freeAddress());
   std::string Address = Server->Address;
@@ -203,7 +205,7 @@
   LONGS_EQUAL(1, Client.Lost.load());
 }
 
-// One that has just restarted must be reached by the next envelope.
+// The next envelope must reach a peer that has just restarted.
 TEST(LinkPoolTest, APeerThatIsBackIsReachedAtOnce) {
   std::string Address = freeAddress();
   TestNode Client("e", peer::ROLE_ENTRY, freeAddress());
@@ -216,7 +218,7 @@
   LONGS_EQUAL(2, Client.Lost.load());
 }
 
-// Messages of one round travel together, and those of many rounds in order.
+// Messages of one round are sent together, those of several rounds in order.
 TEST(LinkPoolTest, ManyMessagesArriveOnceEach) {
   constexpr int Rounds = 500;
   TestNode Server("a", peer::ROLE_AGENT, freeAddress());
@@ -248,9 +250,9 @@
   }));
 }
 
-// Much of what a connection reads is no envelope: acknowledgements and windows
-// of what was sent. A look that finds only such must not pass for the end of
-// input.
+// Many events of a connection are not envelopes but acknowledgements and flow
+// control of sent data. A poll that finds only those must not be taken for the
+// end of the input.
 TEST(LinkPoolTest, ALoopWithEnvelopesToReadIsNotIdle) {
   constexpr int Peers = 40;
   constexpr int Rounds = 4;
@@ -260,7 +262,7 @@
   for (int I = 0; I < Peers; ++I)
     Senders.push_back(std::make_unique<TestNode>("a", peer::ROLE_AGENT,
                                                  freeAddress(), I + 1));
-  // Each envelope takes a while and is answered, once all are connected.
+  // Each envelope is answered; once all are connected, it also takes a while.
   std::atomic<bool> Slow{false};
   Busy.Work = [&](const peer::Envelope &Envelope) {
     if (Slow.load())
@@ -269,8 +271,8 @@
     Answer.mutable_lease_renewal()->set_stamp(1);
     Busy.Node.links().send({"a", Envelope.sender_address()}, std::move(Answer));
   };
-  // One connection after the other: of forty at once beside other tests some
-  // fail, which is reported, and would be missed below.
+  // Connects one after the other: of forty simultaneous connections some fail
+  // if other tests run, and their messages would be missing below.
   for (auto &Sender : Senders) {
     int Had = Busy.Received.load();
     CHECK(waitFor([&] {
@@ -295,7 +297,7 @@
     for (auto &Sender : Senders)
       Sender->send("e", Busy.Address);
     int Before = Connected + Round * Peers;
-    // All have been sent long before a third has been read.
+    // All envelopes are sent long before a third of them is read.
     CHECK(waitFor([&] { return Busy.Received.load() >= Before + Peers / 3; }));
     TimePoint From = Busy.Source.now().Steady;
     TimePoint LastIdle = TimePoint::min();
--- a/tests/transport/link_refusal_test.cpp
+++ b/tests/transport/link_refusal_test.cpp
@@ -44,10 +44,10 @@
        "expected a sender with a name and a role"},
       {"no name", [](peer::Envelope &E) { E.clear_sender(); },
        "expected a sender with a name and a role"},
-      {"control's words from an entry",
+      {"control message from an entry",
        [](peer::Envelope &E) { E.add_messages()->mutable_heartbeat_reply(); },
        "only control may send this message"},
-      {"the log's words from an entry",
+      {"raft message from an entry",
        [](peer::Envelope &E) { E.add_messages()->mutable_raft(); },
        "only control may send this message"},
   };
--- a/tests/transport/suspension_test.cpp
+++ b/tests/transport/suspension_test.cpp
@@ -1,10 +1,10 @@
-//===- A host that was suspended for a while ------------------------------===//
+//===- Suspended hosts ----------------------------------------------------===//
 //
-// The clock that says how old a lease, a route table or an answer is must go on
-// while the host is suspended, else a node takes what it held before for as
-// young as then, while others were given it meanwhile. With the clock that
-// stands still a table of 10 s of age was "current" here, and no loop knew that
-// it was late.
+// The clock that measures the age of leases, route tables and answers must
+// include time spent suspended. Otherwise a node still uses what it held before
+// the suspension, although another node may have been given it. With a clock
+// that stops during a suspension, a route table of 10 s of age was "current" in
+// these tests, and no event loop detected that it was late.
 //
 //===----------------------------------------------------------------------===//
 
@@ -18,7 +18,7 @@
 
 #include <fmt/format.h>
 
-// Last: it redefines new.
+// Included last, as it redefines new.
 #include <CppUTest/TestHarness.h>
 
 using namespace yardwheel;
@@ -28,7 +28,7 @@
 
 constexpr std::chrono::milliseconds Tick{10};
 
-/// Suspensions shorter than a lease, of a lease and of many.
+/// Suspensions shorter than a lease, about as long, and many times longer.
 const std::chrono::milliseconds Lengths[] = {200ms, 800ms, 8000ms};
 
 class NullPort final : public WorkerPort {
@@ -92,9 +92,9 @@
   }
 }
 
-// What an entry sent before its agent's host was suspended starts nothing
-// after: its jobs may run elsewhere by then.
-TEST(SuspensionTest, AnAgentStartsNothingUnderALeaseThatLapsedMeanwhile) {
+// A dispatch sent before the agent's host was suspended must not start a task
+// afterwards, as its jobs may run elsewhere by then.
+TEST(SuspensionTest, AnAgentStartsNothingUnderAnExpiredLease) {
   for (std::chrono::milliseconds Length : Lengths) {
     KeeperOptions Options;
     Options.Incarnation = 1;
@@ -126,8 +126,8 @@
   }
 }
 
-// The same as after a freeze: what was sent may lie unread, and the lateness is
-// this process's own.
+// As after a freeze of the process, received messages may be unread, and the
+// delay is the process's own.
 TEST(SuspensionTest, ALoopKnowsThatItWasBehind) {
   LinkNode Node({"test", peer::ROLE_ENTRY, "e",
                  fmt::format("127.0.0.1:{}", freePort()), 1},
@@ -140,19 +140,19 @@
   CHECK(waitFor(
       [&] { return Source.now().Steady - Node.loop().lastIdle() < 100ms; }));
   LONGS_EQUAL(1, Node.loop().suspensions());
-  // What was read soon after may have come before; the host's clock for that
-  // leaves the suspension out.
+  // Input read shortly afterwards may have arrived before the suspension; the
+  // host's clock for its age does not include the suspension.
   CHECK(Node.loop().suspendedSince(Before) >= 2900ms);
   CHECK(Node.loop().suspendedSince(Before) <= 3500ms);
   CHECK(Node.loop().suspendedSince(Source.now().Steady) == 0ms);
-  // A process that merely stood still is not taken for a suspended host.
+  // A stall of the process is not taken for a suspension of the host.
   Node.loop().post([](Instant) { std::this_thread::sleep_for(300ms); });
   std::this_thread::sleep_for(500ms);
   LONGS_EQUAL(1, Node.loop().suspensions());
   Node.stop();
 }
 
-TEST(SuspensionTest, WithoutSuchAClockNothingTakesItsPlace) {
+TEST(SuspensionTest, AMissingBootClockIsAnError) {
   removeBootClock(true);
   CHECK_THROWS(Error, BootClock::now());
   CHECK_THROWS(Error, Source.now());
@@ -160,9 +160,9 @@
   Source.now();
 }
 
-// The worker's clock may not have gone on while ours did, or the other way
-// round.
-TEST(SuspensionTest, AnOldReadingOfTheWorkersClockIsNotCarriedOn) {
+// During a suspension the worker's clock may stop while ours advances, or the
+// other way round.
+TEST(SuspensionTest, AnOldReadingOfTheWorkersClockIsNotExtrapolated) {
   struct Row {
     std::chrono::milliseconds Since;
     WorkerTime LeaseUntil;
--- a/transport/completion_waiter.cpp
+++ b/transport/completion_waiter.cpp
@@ -20,7 +20,7 @@
 bool CompletionWaiter::wait(Duration MaxWait) {
   void *Tag = nullptr;
   bool Ok = false;
-  // On the steady clock: the time of day may jump.
+  // Uses the monotonic clock, since the wall clock may jump.
   gpr_timespec Deadline =
       gpr_time_add(gpr_now(GPR_CLOCK_MONOTONIC),
                    gpr_time_from_micros(MaxWait.count(), GPR_TIMESPAN));
@@ -32,7 +32,7 @@
 }
 
 void CompletionWaiter::wake() {
-  // One wake that has not been seen yet is enough.
+  // A single pending wake-up is enough.
   if (!this->WakeUp.Pending.exchange(true))
     this->Alarm.Set(this->Queue.get(), gpr_now(GPR_CLOCK_MONOTONIC),
                     static_cast<CompletionTag *>(&this->WakeUp));
--- a/transport/completion_waiter.h
+++ b/transport/completion_waiter.h
@@ -1,9 +1,9 @@
-//===- transport/completion_waiter.h - Waits for gRPC -----------*- C++ -*-===//
+//===- transport/completion_waiter.h - Polls a gRPC queue -------*- C++ -*-===//
 ///
 /// \file
-/// Lets the event loop's own thread read and write gRPC's connections. With
-/// threads of the library's own, each message costs several hand-overs between
-/// threads, which is most of a message's price on a small share of a core.
+/// Lets the event loop's thread drive gRPC's connections. With separate gRPC
+/// threads, each message would need several thread switches, which are most of
+/// the cost of a message on a small share of a core.
 ///
 //===----------------------------------------------------------------------===//
 #ifndef YARDWHEEL_TRANSPORT_COMPLETION_WAITER_H
@@ -18,14 +18,14 @@
 
 namespace yardwheel {
 
-/// Hears that an operation on a connection has ended. Given to gRPC as the
-/// operation's tag.
+/// Is notified when an operation on a connection has completed. Passed to gRPC
+/// as the operation's tag.
 class CompletionTag {
 public:
   virtual ~CompletionTag() = default;
-  /// \param Ok False if the connection has failed or the peer has ended it.
+  /// \param Ok False if the connection has failed or the peer has closed it.
   virtual void onCompletion(bool Ok) = 0;
-  /// The same while the queue ends: no further operation may begin.
+  /// The same during the queue's shutdown: no new operation may be started.
   virtual void onShutDown() = 0;
 };
 
@@ -38,14 +38,14 @@
 
   bool wait(Duration MaxWait) override;
   void wake() override;
-  /// Ends all operations. No loop may wait any more, and what uses the queue
-  /// must have been shut down or let go.
+  /// Completes all operations. No loop may be waiting, and all users of the
+  /// queue must have been shut down or released.
   void shutDown();
 
   grpc::CompletionQueue &queue() { return *this->Queue; }
 
 private:
-  /// Returned by a wake.
+  /// The tag of a wake-up.
   class WakeTag final : public CompletionTag {
   public:
     void onCompletion(bool) override { this->Pending.store(false); }
--- a/transport/event_loop.cpp
+++ b/transport/event_loop.cpp
@@ -6,24 +6,25 @@
 
 namespace {
 
-/// Without an idle moment for this long, the loop looks for one whenever it
-/// has done what it knew of: a look costs a system call.
+/// After this time without being idle, the loop polls for further events
+/// without waiting, to find out whether it is idle. A poll costs a system call.
 constexpr std::chrono::milliseconds IdlePollThreshold{40};
 
-/// Without an idle moment for this long, the loop is behind. Twice the longest
-/// spell seen in a process that keeps up.
+/// After this time without being idle, the loop is behind. Twice the longest
+/// such time observed in a process that keeps up.
 constexpr std::chrono::milliseconds BehindThreshold{100};
 
-/// After the loop was behind, for other threads to have read what came
-/// meanwhile.
+/// The time after a stall that other threads need to read the input that
+/// arrived during the stall.
 constexpr std::chrono::milliseconds CatchUpTime{150};
 
-/// The two clocks are read one after the other, so that a thread that loses its
-/// turn between them sees them apart by some milliseconds.
+/// The smallest difference of the clocks that counts as a suspension. They are
+/// read one after the other; if the thread is preempted in between, they differ
+/// by some milliseconds.
 constexpr std::chrono::milliseconds MinSuspension{100};
 
-/// A round that begins this long after the one before is logged: half of the
-/// shortest lease that another process holds on this one's word.
+/// A round that starts this long after the previous one is logged. Half of the
+/// shortest lease that another process holds by renewals from this one.
 constexpr std::chrono::milliseconds MinLoggedStall{400};
 
 } // namespace
@@ -58,7 +59,7 @@
     WasEmpty = this->Items.empty();
     this->Items.push_back(std::move(Item));
   }
-  // The thread takes everything at once, so one call is enough.
+  // The thread takes all items at once, so one wake-up is enough.
   if (WasEmpty)
     this->Waiter.wake();
 }
@@ -90,7 +91,7 @@
   TimePoint Idle = this->LastIdle.load();
   if (Now - Idle <= BehindThreshold)
     return this->LastStall;
-  // What came in a longer one just before may not have been read either.
+  // Input that arrived in a longer stall just before may also be unread.
   const Stall &Before = this->LastStall;
   bool Counts = Before.Until != TimePoint::min() &&
                 Now - Before.Until <= CatchUpTime &&
@@ -98,7 +99,7 @@
   if (Counts)
     return Before;
   Duration Ran = this->Source.runTime() - this->IdleRunTime;
-  // The clocks are read one after the other.
+  // The clocks are read one after the other, so the result may be negative.
   Duration Suspended = std::max(Now - Idle - Ran, Duration{0});
   return {Idle, Now, Suspended < MinSuspension ? Duration{0} : Suspended};
 }
--- a/transport/event_loop.h
+++ b/transport/event_loop.h
@@ -1,9 +1,9 @@
-//===- transport/event_loop.h - The thread that decides ---------*- C++ -*-===//
+//===- transport/event_loop.h - The decision thread -------------*- C++ -*-===//
 ///
 /// \file
-/// One thread that owns a process's decision code. Other threads post work to
-/// it; it also ticks at a fixed interval. After each round it flushes, so
-/// that messages made in one round travel together without waiting for more.
+/// The single thread that runs a process's decision code. Other threads post
+/// work to it; it also ticks at a fixed interval. It flushes after each round,
+/// so that messages of one round are sent together without further delay.
 ///
 //===----------------------------------------------------------------------===//
 #ifndef YARDWHEEL_TRANSPORT_EVENT_LOOP_H
@@ -26,43 +26,43 @@
 public:
   using Work = std::function<void(Instant)>;
 
-  /// \param Waiter What the loop waits with; what it reads itself is handled
-  /// on the loop's thread. \param Tick Called every \p Interval. \param Flush
-  /// Called after a round.
+  /// \param Waiter Used to wait; the events that it handles run on the loop's
+  /// thread. \param Tick Called every \p Interval. \param Flush Called after
+  /// each round.
   EventLoop(const Clock &Source, LoopWaiter &Waiter,
             std::chrono::milliseconds Interval, Work Tick,
             std::function<void()> Flush);
   ~EventLoop();
 
-  /// Starts the thread; nothing runs before.
+  /// Starts the thread. Nothing runs before.
   void start();
-  /// Ends the thread after the round under way.
+  /// Stops the thread after the current round.
   void stop();
 
-  /// Queues work from any thread.
+  /// Queues work. Thread-safe.
   void post(Work Item);
 
-  /// When the loop last had nothing left to do, for any thread.
+  /// Returns when the loop last had nothing left to do. Thread-safe.
   TimePoint lastIdle() const { return this->LastIdle.load(); }
-  /// Until when the loop last was behind: without an idle moment for too long.
-  /// Its own lateness must not be taken for that of others.
+  /// Returns the last time that the loop was behind, that is, had not been idle
+  /// for too long. Its own delay must not be taken for a delay of its peers.
   TimePoint lastBehind() const;
-  /// Since when what this process reads now may have come: from the last idle
-  /// moment before the loop was behind, until shortly after. None if it is
-  /// read as it comes.
+  /// Returns the earliest time at which the input read now may have arrived:
+  /// the last idle time before the loop fell behind. Returned until shortly
+  /// after it has caught up; nullopt if input is read as it arrives.
   std::optional<TimePoint> backlogSince() const;
-  /// For how long the host was suspended after that moment, at most: clocks
-  /// that the host keeps may leave this out.
+  /// Returns the maximum time that the host was suspended after \p When. Other
+  /// clocks of the host may not include this time.
   Duration suspendedSince(TimePoint When) const;
-  /// How often the host was seen to have been suspended; for any thread.
+  /// Returns the number of detected suspensions of the host. Thread-safe.
   std::uint64_t suspensions() const { return this->Suspensions.load(); }
 
 private:
-  /// A time without an idle moment.
+  /// A period in which the loop was never idle.
   struct Stall {
     TimePoint Since = TimePoint::min();
     TimePoint Until = TimePoint::min();
-    /// Of it, while the host was suspended.
+    /// The part in which the host was suspended.
     Duration Suspended{0};
   };
 
@@ -78,13 +78,13 @@
   std::deque<Work> Items;
   bool Stopping = false;
   void noteIdle(TimePoint Now);
-  /// With the pause under way, if there is one.
+  /// Returns the last stall, which may still be in progress.
   Stall lastStall(TimePoint Now) const;
-  /// A suspension takes the way of any other time in which this process stood
-  /// still; it is only told apart for whoever reads the log.
+  /// Logs and counts a suspension of the host. The process handles it like any
+  /// other stall; it is distinguished only for the readers of the log.
   void noteSuspension(TimePoint Now);
-  /// Logs that this process stood still, as a frozen one or one without
-  /// processor time does: what it knows of others is that much older.
+  /// Logs that this process has stalled, for example because it was frozen or
+  /// got no CPU time. Its knowledge of its peers is older by that time.
   void noteStall(TimePoint Now);
 
   Logger Log{"loop"};
@@ -93,7 +93,7 @@
   std::atomic<std::uint64_t> Suspensions{0};
   std::atomic<TimePoint> LastIdle;
   std::atomic<TimePoint> LastBehind{TimePoint::min()};
-  /// Both under the lock.
+  /// LastStall and IdleRunTime are guarded by Mutex.
   Stall LastStall;
   Duration IdleRunTime{0};
   std::thread Thread;
--- a/transport/link_node.cpp
+++ b/transport/link_node.cpp
@@ -31,7 +31,7 @@
   if (!this->Running)
     return;
   this->Running = false;
-  // The loop's thread ends the streams that the server waits for.
+  // The server waits for its streams, which end on the loop's thread.
   this->Server.stop();
   this->Loop.stop();
   this->Links.onFailure(nullptr);
--- a/transport/link_node.h
+++ b/transport/link_node.h
@@ -1,8 +1,8 @@
-//===- transport/link_node.h - A node's links and their loop ----*- C++ -*-===//
+//===- transport/link_node.h - A node's links and event loop ----*- C++ -*-===//
 ///
 /// \file
-/// What every role is wired with: the server for peers' envelopes, the streams
-/// to peers, and the loop whose thread drives both and runs the role's
+/// The transport of every role: the server that receives envelopes, the streams
+/// to peers, and the event loop whose thread drives both and runs the role's
 /// decision code.
 ///
 //===----------------------------------------------------------------------===//
@@ -19,11 +19,11 @@
 
 namespace yardwheel {
 
-/// A role's code, called on the loop's thread.
+/// Callbacks of a role, called on the loop's thread.
 struct LinkNodeHandlers {
   std::function<void(Instant Now)> Tick;
   std::function<void(const peer::Envelope &Envelope, Instant Now)> Envelope;
-  /// What may not have arrived; may be empty.
+  /// Called for each envelope that may not have arrived; may be empty.
   std::function<void(const Undelivered &Lost, Instant Now)> Undelivered;
 };
 
@@ -34,9 +34,9 @@
            const Clock &Source, std::chrono::milliseconds TickInterval);
   ~LinkNode() { this->stop(); }
 
-  /// Begins to take envelopes and to tick; nothing is called before.
+  /// Starts to handle envelopes and to tick. No handler is called before.
   void start(LinkNodeHandlers NewHandlers);
-  /// Nothing is called after.
+  /// Stops the node. No handler is called afterwards.
   void stop();
 
   LinkPool &links() { return this->Links; }
--- a/transport/link_pool.cpp
+++ b/transport/link_pool.cpp
@@ -7,11 +7,11 @@
 
 namespace {
 
-/// A peer that does not read must not hold memory without bound.
+/// Limits the memory used for a peer that does not read.
 constexpr std::size_t MaxQueuedEnvelopes = 2000;
-/// An envelope that grows beyond this is sent before the flush.
+/// An envelope that exceeds this size is sent before the flush.
 constexpr std::size_t EarlySendBytes = MaxEnvelopeBytes / 4;
-/// Between two looks for silent streams.
+/// The time between two checks for dead streams.
 constexpr std::chrono::milliseconds CheckInterval{100};
 
 } // namespace
@@ -19,7 +19,7 @@
 LinkPool::LinkPool(LinkIdentity Self, grpc::CompletionQueue &Queue,
                    const Clock &Source, LinkOptions Options)
     : Self(std::move(Self)), Queue(Queue), Source(Source), Options(Options),
-      // Above those of earlier lives of this node.
+      // Greater than the ids used by earlier incarnations of this node.
       LastStreamId(this->Self.Incarnation) {}
 
 LinkPool::~LinkPool() {
@@ -56,7 +56,7 @@
   if (To.Address.empty())
     return;
   Link &Target = this->linkTo(To.Address);
-  // An envelope has one recipient, and its receiver refuses it as a whole.
+  // An envelope has a single recipient; any other node refuses all of it.
   bool Other =
       Target.Queued.messages_size() > 0 && Target.Queued.recipient() != To.Node;
   if (Other)
@@ -157,7 +157,7 @@
     return;
   Link &From = this->linkTo(Envelope.sender_address());
   From.Peer.Address = Envelope.sender_address();
-  // A later life has lower numbers after its clock was set back.
+  // A new incarnation has lower numbers if its clock was set back.
   bool Newer = Envelope.sender_incarnation() != From.PeerIncarnation ||
                Envelope.stream() > From.ReceivedStream ||
                (Envelope.stream() == From.ReceivedStream &&
@@ -178,8 +178,9 @@
                         TimePoint LastBehind) const {
   if (!Target.Stream || Target.Unacked.empty())
     return false;
-  // What says that the peer has read may have lain here unread until then: one
-  // busy entry replaced 22 sound streams in a second, and was later for it.
+  // Until LastBehind, acknowledgements may have arrived here without being
+  // read. Without this rule a busy entry replaced 22 working streams within a
+  // second, which delayed it further.
   TimePoint Since = std::max(Target.Unacked.front().At, LastBehind);
   if (Now - Since < this->Options.SilenceTimeout)
     return false;
@@ -215,7 +216,7 @@
 }
 
 void LinkPool::onEnded(Link &Target, const grpc::Status &Why) {
-  this->Log.debug("The stream to {} has ended: {}.", Target.Peer.Node,
+  this->Log.debug("The stream to {} was closed: {}.", Target.Peer.Node,
                   Why.error_message());
   this->abandon(Target);
 }
--- a/transport/link_pool.h
+++ b/transport/link_pool.h
@@ -1,14 +1,14 @@
 //===- transport/link_pool.h - Sends envelopes to peers ---------*- C++ -*-===//
 ///
 /// \file
-/// Keeps one stream for each address and sends envelopes over it. What is
-/// queued for one peer when the loop flushes goes in one envelope; nothing
-/// waits for more to come (grouping what is already queued is an idea of
+/// Keeps one stream per address and sends envelopes over it. All messages that
+/// are queued for a peer at a flush are sent in one envelope; none is delayed
+/// to wait for more (grouping of queued messages is an idea of
 /// "Weir: Batching"; its effect is in docs/design/transport.md).
 ///
-/// No receipts are sent: each envelope says how far the other way has been
-/// read. What has not been read when a stream ends is reported, as it may not
-/// have arrived.
+/// There are no separate acknowledgements: each envelope contains the number of
+/// the last envelope read in the other direction. Envelopes that are not
+/// acknowledged when a stream ends are reported, as they may not have arrived.
 ///
 //===----------------------------------------------------------------------===//
 #ifndef YARDWHEEL_TRANSPORT_LINK_POOL_H
@@ -30,7 +30,7 @@
 
 namespace yardwheel {
 
-/// Who a process says it is in every envelope.
+/// The identity that a process states in every envelope.
 struct LinkIdentity {
   std::string Cluster;
   peer::Role Role = peer::ROLE_UNSPECIFIED;
@@ -39,7 +39,7 @@
   std::uint64_t Incarnation = 0;
 };
 
-/// The largest envelope that is sent or read, in bytes.
+/// The maximum size of an envelope, sent or received, in bytes.
 constexpr int MaxEnvelopeBytes = 16777216;
 
 struct LinkCounters {
@@ -48,7 +48,7 @@
   std::atomic<std::uint64_t> BytesSent{0};
   std::atomic<std::uint64_t> EnvelopesRead{0};
   std::atomic<std::uint64_t> StreamsOpened{0};
-  /// Envelopes of which it is not known whether they have arrived.
+  /// Envelopes that may not have arrived.
   std::atomic<std::uint64_t> Failed{0};
   std::atomic<std::uint64_t> Dropped{0};
 };
@@ -57,19 +57,19 @@
 std::string describeCounters(const LinkCounters &Counters);
 
 struct LinkOptions {
-  /// A peer that sends something this long after an envelope was sent to it,
-  /// and has not read that one, is behind a stream that has gone silent. Many
-  /// times what a busy peer takes to read.
+  /// A stream is considered dead if its peer still sends this long after an
+  /// envelope was sent to it, but has not acknowledged that envelope. Many
+  /// times longer than a busy peer takes to read.
   std::chrono::milliseconds SilenceTimeout{1000};
-  /// How long envelopes are kept that the peer has not said it has read. What
-  /// is older is of no use to anybody.
+  /// How long unacknowledged envelopes are kept. Older ones are no longer of
+  /// use to anyone.
   std::chrono::milliseconds UnackedRetention{2000};
-  /// Between two connections to a peer that leaves messages unanswered: it may
-  /// be slow, and a connection costs it time.
+  /// The minimum time between two connections to a peer that leaves messages
+  /// unanswered. It may be slow, and each connection costs it time.
   std::chrono::milliseconds MinReconnectInterval{250};
 };
 
-/// Used by the loop's thread only, but where it says otherwise.
+/// For the loop's thread only, except where stated otherwise.
 class LinkPool final : public PeerSink {
 public:
   using FailureHandler = std::function<void(const Undelivered &Lost)>;
@@ -80,19 +80,19 @@
 
   void send(const PeerRef &To, peer::Message Message) override;
   void reconnect(const PeerRef &To) override;
-  /// Sends what has been queued since the last flush.
+  /// Sends the messages queued since the last flush.
   void flush();
-  /// Looks for streams that have gone silent.
-  /// \param LastBehind Until when this process did not keep up with its input.
+  /// Replaces dead streams and drops old unacknowledged envelopes.
+  /// \param LastBehind The last time that this process was behind.
   void tick(TimePoint Now, TimePoint LastBehind);
-  /// Takes what an envelope of a peer says of those sent to it.
+  /// Handles the acknowledgement in a peer's envelope.
   void onRead(const peer::Envelope &Envelope, TimePoint Now);
   void setRevision(std::uint64_t NewRevision) { this->Revision = NewRevision; }
-  /// Hears what may not have arrived.
+  /// Sets the handler for envelopes that may not have arrived.
   void onFailure(FailureHandler Handler) { this->Failure = std::move(Handler); }
 
-  /// Whether all that was sent has been handed to its connection or has
-  /// failed; for any thread.
+  /// Returns whether every envelope has been written to its connection or has
+  /// failed. Thread-safe.
   bool isIdle() const { return this->Unwritten.load() == 0; }
   const LinkCounters &counters() const { return this->Counters; }
 
@@ -102,7 +102,7 @@
     TimePoint At;
     std::shared_ptr<const peer::Envelope> Envelope;
   };
-  /// What goes to one address.
+  /// The stream and the queue of one address.
   class Link final : public LinkStream::Events {
   public:
     explicit Link(LinkPool &Pool) : Pool(Pool) {}
@@ -122,17 +122,17 @@
     TimePoint OpenedAt;
     peer::Envelope Queued;
     std::size_t QueuedBytes = 0;
-    /// Sent on the present stream and not known to have been read.
+    /// Sent on the current stream and not yet acknowledged.
     std::deque<Sent> Unacked;
-    /// Of these, not yet handed to the connection.
+    /// The number of these that are not yet written to the connection.
     std::size_t Unwritten = 0;
-    /// The newest envelope read from the peer, and when. Its numbers can be
-    /// compared only with those of the same life of the peer.
+    /// The newest envelope read from the peer, and its time. Its numbers are
+    /// comparable only within the same incarnation of the peer.
     std::uint64_t PeerIncarnation = 0;
     std::uint64_t ReceivedStream = 0;
     std::uint64_t ReceivedNumber = 0;
     TimePoint ReceivedAt;
-    /// The peer refuses what is sent; told once, until a new stream.
+    /// The peer refuses envelopes; logged once per stream.
     bool Refused = false;
   };
 
@@ -142,7 +142,7 @@
   void onEnded(Link &Target, const grpc::Status &Why);
   void transmit(Link &Target);
   void open(Link &Target);
-  /// Lets go of the stream and reports what may not have arrived.
+  /// Releases the stream and reports its unacknowledged envelopes.
   void abandon(Link &Target);
   bool isSilent(const Link &Target, TimePoint Now, TimePoint LastBehind) const;
 
@@ -155,7 +155,7 @@
   std::uint64_t Revision = 0;
   std::uint64_t LastStreamId;
   std::map<std::string, Link> Links;
-  /// Links with something queued.
+  /// Links with queued messages.
   std::vector<Link *> PendingFlush;
   TimePoint NextCheck;
   std::atomic<std::size_t> Unwritten{0};
--- a/transport/link_server.cpp
+++ b/transport/link_server.cpp
@@ -27,7 +27,7 @@
   return {};
 }
 
-/// One stream from a peer. Deletes itself when it has ended.
+/// A stream from a peer. Deletes itself when the stream has ended.
 class LinkServer::Inbound {
 public:
   explicit Inbound(LinkServer &Owner) : Owner(Owner) {
@@ -48,7 +48,7 @@
       if (--this->Target.Pending == 0)
         delete &this->Target;
     }
-    /// To be given to the operation that begins now.
+    /// Returns the tag for an operation that is about to start.
     void *tag() {
       ++this->Target.Pending;
       return static_cast<CompletionTag *>(this);
@@ -82,7 +82,7 @@
     this->Stream.Read(&this->Envelope, this->ReadStep.tag());
   }
 
-  /// Says why, unless it is just being said for an envelope before.
+  /// Sends the reason of a refusal, unless an earlier one is being sent.
   void refuse(std::string Reason) {
     if (this->Writing)
       return;
@@ -111,7 +111,7 @@
   peer::Receipt Receipt;
   bool Writing = false;
   bool Ended = false;
-  /// Operations under way.
+  /// The number of operations in progress.
   int Pending = 0;
   Step AcceptedStep{*this, &Inbound::onAccepted};
   Step ReadStep{*this, &Inbound::onRead};
@@ -139,7 +139,7 @@
 
 LinkServer::~LinkServer() {
   this->stop();
-  // The library asks for this order.
+  // gRPC requires this order.
   this->Waiter->shutDown();
   this->Server.reset();
 }
--- a/transport/link_server.h
+++ b/transport/link_server.h
@@ -2,8 +2,8 @@
 ///
 /// \file
 /// The gRPC server of a process, driven by the event loop's thread. It refuses
-/// envelopes of other clusters, of unknown roles, meant for another node or too
-/// large, and hands the rest to a handler.
+/// envelopes that come from another cluster or an unknown role, are addressed
+/// to another node or are too large, and passes the rest to a handler.
 ///
 //===----------------------------------------------------------------------===//
 #ifndef YARDWHEEL_TRANSPORT_LINK_SERVER_H
@@ -18,30 +18,30 @@
 
 namespace yardwheel {
 
-/// Why an envelope must be refused; empty if it may be read.
+/// Returns why an envelope must be refused; empty if it is accepted.
 std::string refusalOf(const peer::Envelope &Envelope, const LinkIdentity &Self);
 
 class LinkServer {
 public:
-  /// Takes an envelope that was not refused, on the loop's thread.
+  /// Called for each accepted envelope, on the loop's thread.
   using Handler = std::function<void(const peer::Envelope &)>;
 
   /// \throws Error if the address cannot be bound.
   explicit LinkServer(LinkIdentity Self);
   ~LinkServer();
 
-  /// What the event loop waits with, and the queue for the node's own streams.
+  /// The waiter of the event loop; its queue also serves the node's streams.
   CompletionWaiter &waiter() { return *this->Waiter; }
-  /// Before the loop starts.
+  /// Sets the handler. To be called before the loop starts.
   void onEnvelope(Handler Receive) { this->Receive = std::move(Receive); }
 
-  /// Refuses further envelopes. The loop must still run, if it ever has.
+  /// Refuses further envelopes. If the loop was started, it must still run.
   void stop();
 
 private:
   class Inbound;
 
-  /// Waits for one more stream.
+  /// Prepares to accept one more stream.
   void accept();
 
   LinkIdentity Self;
--- a/transport/link_stream.cpp
+++ b/transport/link_stream.cpp
@@ -6,17 +6,17 @@
 
 namespace {
 
-/// How long a connection may take. A peer on a small share of a core that has
-/// just started, or takes connections of many others, needs some hundreds of
-/// milliseconds; whoever cannot wait so long asks for another connection.
+/// The timeout to connect. A peer on a small share of a core that has just
+/// started, or accepts many connections, needs some hundreds of milliseconds.
+/// A caller that cannot wait so long requests another connection.
 constexpr std::chrono::milliseconds ConnectTimeout{1000};
 
 grpc::ChannelArguments channelArguments() {
   grpc::ChannelArguments Arguments;
   Arguments.SetInt(GRPC_ARG_MIN_RECONNECT_BACKOFF_MS, ConnectTimeout.count());
-  // A new channel must not inherit an old one's wait before it connects.
+  // A new channel must not inherit the reconnect backoff of an old one.
   Arguments.SetInt(GRPC_ARG_USE_LOCAL_SUBCHANNEL_POOL, 1);
-  // What the library would do about retries and proxies is our own work.
+  // Retries and proxies are handled by our own code.
   Arguments.SetInt(GRPC_ARG_ENABLE_RETRIES, 0);
   Arguments.SetInt(GRPC_ARG_ENABLE_HTTP_PROXY, 0);
   Arguments.SetMaxSendMessageSize(MaxEnvelopeBytes);
@@ -67,7 +67,7 @@
     this->finish();
     return;
   }
-  // Also how the end of the stream is heard of.
+  // The read also detects the end of the stream.
   ++this->Pending;
   this->Call->Read(&this->Receipt, this->ReadStep.tag());
   this->writeNext();
@@ -76,7 +76,7 @@
 void LinkStream::onWritten(bool Ok) {
   --this->Pending;
   this->Writing.reset();
-  // The read under way tells of the failure.
+  // The pending read reports the failure.
   this->Failed = this->Failed || !Ok;
   if (Ok && this->Owner != nullptr)
     this->Owner->onWritten();
--- a/transport/link_stream.h
+++ b/transport/link_stream.h
@@ -1,9 +1,9 @@
-//===- transport/link_stream.h - One way of a connection --------*- C++ -*-===//
+//===- transport/link_stream.h - Outgoing stream to a peer ------*- C++ -*-===//
 ///
 /// \file
-/// A gRPC stream that carries envelopes to one peer, driven by the event
-/// loop's thread. It ends for good at the first failure; its owner then opens
-/// another.
+/// A gRPC stream that sends envelopes to one peer, driven by the event loop's
+/// thread. It ends at the first failure and is not reopened; its owner creates
+/// a new one.
 ///
 //===----------------------------------------------------------------------===//
 #ifndef YARDWHEEL_TRANSPORT_LINK_STREAM_H
@@ -21,36 +21,36 @@
 
 class LinkStream final : public std::enable_shared_from_this<LinkStream> {
 public:
-  /// Hears from a stream until it lets go of it.
+  /// Receives the events of a stream until release().
   class Events {
   public:
     virtual ~Events() = default;
-    /// An envelope has been handed to the connection.
+    /// An envelope has been written to the connection.
     virtual void onWritten() = 0;
     virtual void onRefused(const std::string &Reason) = 0;
-    /// The stream has failed or was ended by the peer.
+    /// The stream has failed or was closed by the peer.
     virtual void onEnded(const grpc::Status &Why) = 0;
   };
 
   LinkStream(const std::string &Address, grpc::CompletionQueue &Queue,
              Events &Owner);
 
-  /// Connects. Called once, on an object held by a shared pointer.
+  /// Connects. To be called once, on an object owned by a shared pointer.
   void open();
   void write(std::shared_ptr<const peer::Envelope> Envelope);
-  /// Ends the stream; the owner hears nothing more of it.
+  /// Cancels the stream. The owner receives no further events.
   void release();
-  /// Envelopes that wait to be written.
+  /// Returns the number of envelopes that wait to be written.
   std::size_t waiting() const { return this->Waiting.size(); }
 
 private:
-  /// Calls a member when an operation has ended.
+  /// Calls a member function when an operation has completed.
   class Step final : public CompletionTag {
   public:
     Step(LinkStream &Target, void (LinkStream::*Next)(bool))
         : Target(Target), Next(Next) {}
     void onCompletion(bool Ok) override {
-      // The member may let go of the stream.
+      // The member function may release the stream.
       auto Alive = this->Target.shared_from_this();
       (this->Target.*this->Next)(Ok);
     }
@@ -85,7 +85,7 @@
   std::shared_ptr<const peer::Envelope> Writing;
   bool Started = false;
   bool Failed = false;
-  /// Operations that gRPC holds tags of; the object lives until all are back.
+  /// Operations whose tags gRPC holds. The object lives until all are returned.
   int Pending = 0;
   std::shared_ptr<LinkStream> Self;
   Step StartedStep{*this, &LinkStream::onStarted};
--- a/transport/loop_waiter.h
+++ b/transport/loop_waiter.h
@@ -1,4 +1,4 @@
-//===- transport/loop_waiter.h - What an event loop waits with --*- C++ -*-===//
+//===- transport/loop_waiter.h - Event loop wait interface ------*- C++ -*-===//
 #ifndef YARDWHEEL_TRANSPORT_LOOP_WAITER_H
 #define YARDWHEEL_TRANSPORT_LOOP_WAITER_H
 
@@ -10,11 +10,11 @@
 public:
   virtual ~LoopWaiter() = default;
 
-  /// Waits for a while or until woken, or handles one event of its own. A host
-  /// that is suspended meanwhile waits longer. \returns whether nothing came.
+  /// Waits for at most \p MaxWait, until wake(), or handles one event. Takes
+  /// longer if the host is suspended. \returns true if the wait timed out.
   virtual bool wait(Duration MaxWait) = 0;
 
-  /// Ends the wait under way, or the next one; for any thread.
+  /// Ends the current wait, or the next one. Thread-safe.
   virtual void wake() = 0;
 };
 
