--- a/http/answer_counters.h
+++ b/http/answer_counters.h
@@ -1,9 +1,9 @@
-//===- http/answer_counters.h - Answers that have left ----------*- C++ -*-===//
+//===- http/answer_counters.h - Counts of written answers -------*- C++ -*-===//
 ///
 /// \file
-/// Counts the answers of a server by status where they are written. What
-/// callers count and what is counted here differ by answers that were lost or
-/// reached somebody else, which no log of a decision can show.
+/// Counts the answers of a server by status when they are written. The counts
+/// of the callers differ by the answers that were lost or reached another
+/// caller, which no decision log can show.
 ///
 //===----------------------------------------------------------------------===//
 #ifndef YARDWHEEL_HTTP_ANSWER_COUNTERS_H
@@ -17,30 +17,30 @@
 
 namespace yardwheel {
 
-/// For any thread.
+/// Thread-safe.
 class AnswerCounters {
 public:
-  /// A request has been read and needs an answer.
+  /// Counts a request that has been read and needs an answer.
   void countRequest() { ++this->Unanswered; }
-  /// A request has its answer, or can get none any more.
+  /// Counts a request that has its answer or can no longer get one.
   void countSettled() { --this->Unanswered; }
   void countAnswered(int Status);
-  /// An answer whose caller had closed its connection before.
+  /// Counts an answer whose caller had already closed its connection.
   void countWithoutCaller() { ++this->WithoutCaller; }
-  /// An answer that did not fit into its connection's buffer at once.
+  /// Counts an answer that did not fit into its connection's buffer at once.
   void countBlocked() { ++this->Blocked; }
 
   std::uint64_t answered(int Status) const;
-  /// Requests read so far that still need an answer.
+  /// Returns the number of requests that still need an answer.
   std::uint64_t unanswered() const { return this->Unanswered.load(); }
   std::uint64_t withoutCaller() const { return this->WithoutCaller.load(); }
   std::uint64_t blocked() const { return this->Blocked.load(); }
 
-  /// Lines of a metrics page; only statuses that were answered with.
+  /// Returns metrics in Prometheus' text format, without unused statuses.
   std::string describe() const;
 
 private:
-  /// Status codes have three digits, of which the first is at most 5.
+  /// Status codes have three digits, and the first is at most 5.
   static constexpr std::size_t StatusLimit = 600;
   std::array<std::atomic<std::uint64_t>, StatusLimit> ByStatus{};
   std::atomic<std::uint64_t> Unanswered{0};
--- a/http/answer_flusher.cpp
+++ b/http/answer_flusher.cpp
@@ -11,9 +11,9 @@
 
 namespace {
 
-/// A connection that was closed meanwhile wakes nobody; it is looked for this
-/// often.
-constexpr std::chrono::milliseconds LookAgain{200};
+/// How often connections are checked for having been closed, as closing one
+/// does not end the wait.
+constexpr std::chrono::milliseconds RecheckInterval{200};
 
 } // namespace
 
@@ -39,7 +39,7 @@
 }
 
 void AnswerFlusher::start() {
-  // It is there already if no thread could be had for an earlier answer.
+  // It already exists if the thread could not be created for an earlier answer.
   if (this->Wake < 0)
     this->Wake = ::eventfd(0, EFD_CLOEXEC | EFD_NONBLOCK);
   if (this->Wake < 0)
@@ -48,34 +48,34 @@
 }
 
 void AnswerFlusher::run() {
-  std::vector<Line> Lines;
-  while (this->takeAdded(Lines)) {
-    this->wait(Lines);
-    flush(Lines);
+  std::vector<WeakConnection> Connections;
+  while (this->takeAdded(Connections)) {
+    this->wait(Connections);
+    flush(Connections);
   }
 }
 
-bool AnswerFlusher::takeAdded(std::vector<Line> &Lines) {
+bool AnswerFlusher::takeAdded(std::vector<WeakConnection> &Connections) {
   std::lock_guard Lock(this->Mutex);
-  Lines.insert(Lines.end(), this->Added.begin(), this->Added.end());
+  Connections.insert(Connections.end(), this->Added.begin(), this->Added.end());
   this->Added.clear();
   return !this->Stopping;
 }
 
-void AnswerFlusher::wait(const std::vector<Line> &Lines) const {
+void AnswerFlusher::wait(const std::vector<WeakConnection> &Connections) const {
   std::vector<pollfd> Watched{{this->Wake, POLLIN, 0}};
-  for (const Line &Known : Lines)
+  for (const WeakConnection &Known : Connections)
     if (std::shared_ptr<HttpConnection> Open = Known.lock())
       Watched.push_back({Open->descriptor(), POLLOUT, 0});
-  bool Alone = Lines.empty();
-  int Timeout = Alone ? -1 : static_cast<int>(LookAgain.count());
+  bool IsEmpty = Connections.empty();
+  int Timeout = IsEmpty ? -1 : static_cast<int>(RecheckInterval.count());
   ::poll(Watched.data(), Watched.size(), Timeout);
   eventfd_t Count = 0;
   ::eventfd_read(this->Wake, &Count);
 }
 
-void AnswerFlusher::flush(std::vector<Line> &Lines) {
-  std::erase_if(Lines, [](const Line &Known) {
+void AnswerFlusher::flush(std::vector<WeakConnection> &Connections) {
+  std::erase_if(Connections, [](const WeakConnection &Known) {
     std::shared_ptr<HttpConnection> Open = Known.lock();
     return !Open || Open->flush() != WriteState::Blocked;
   });
--- a/http/answer_flusher.h
+++ b/http/answer_flusher.h
@@ -1,9 +1,9 @@
-//===- http/answer_flusher.h - Answers to slow readers ----------*- C++ -*-===//
+//===- http/answer_flusher.h - Flushes answers to slow readers --*- C++ -*-===//
 ///
 /// \file
-/// A thread that writes on the answers that did not fit into their
-/// connections' buffers, as callers read them, so that no thread that decides
-/// waits for a caller. It is started by the first such answer.
+/// A thread that writes the rest of answers that did not fit into their
+/// connections' buffers, as fast as callers read them, so that no decision
+/// thread waits for a caller. It is started by the first such answer.
 ///
 //===----------------------------------------------------------------------===//
 #ifndef YARDWHEEL_HTTP_ANSWER_FLUSHER_H
@@ -25,23 +25,23 @@
   AnswerFlusher(const AnswerFlusher &) = delete;
   AnswerFlusher &operator=(const AnswerFlusher &) = delete;
 
-  /// Flushes the connection until all is written or it is gone; for any
-  /// thread. Does not keep it open.
-  /// \throws std::system_error if no thread or descriptor can be had.
+  /// Flushes the connection until all is written or it is closed. Does not
+  /// keep it open. Thread-safe.
+  /// \throws std::system_error if no thread or descriptor can be created.
   void add(const std::shared_ptr<HttpConnection> &Blocked);
 
 private:
-  using Line = std::weak_ptr<HttpConnection>;
+  using WeakConnection = std::weak_ptr<HttpConnection>;
 
   void start();
   void run();
-  /// Waits until one of the connections takes more, or one is added.
-  void wait(const std::vector<Line> &Lines) const;
-  bool takeAdded(std::vector<Line> &Lines);
-  static void flush(std::vector<Line> &Lines);
+  /// Waits until a connection is writable or one is added.
+  void wait(const std::vector<WeakConnection> &Connections) const;
+  bool takeAdded(std::vector<WeakConnection> &Connections);
+  static void flush(std::vector<WeakConnection> &Connections);
 
   std::mutex Mutex;
-  std::vector<Line> Added;
+  std::vector<WeakConnection> Added;
   bool Stopping = false;
   int Wake = -1;
   std::thread Thread;
--- a/http/answer_writer.cpp
+++ b/http/answer_writer.cpp
@@ -5,9 +5,9 @@
 namespace yardwheel {
 
 void AnswerWriter::write(const std::shared_ptr<HttpConnection> &Open,
-                         std::uint64_t Place, const HttpAnswer &Answer,
+                         std::uint64_t Sequence, const HttpAnswer &Answer,
                          const AnswerForm &Form) {
-  WriteState State = Open ? Open->answer(Place, describeAnswer(Answer, Form))
+  WriteState State = Open ? Open->answer(Sequence, describeAnswer(Answer, Form))
                           : WriteState::Gone;
   if (State == WriteState::Gone) {
     this->Counters.countWithoutCaller();
@@ -19,8 +19,8 @@
 }
 
 void AnswerWriter::writeLast(const std::shared_ptr<HttpConnection> &Open,
-                             std::uint64_t Place, const HttpAnswer &Answer) {
-  this->write(Open, Place, Answer, {.KeepsConnection = false});
+                             std::uint64_t Sequence, const HttpAnswer &Answer) {
+  this->write(Open, Sequence, Answer, {.KeepsConnection = false});
 }
 
 void AnswerWriter::finishLater(const std::shared_ptr<HttpConnection> &Open) {
@@ -28,7 +28,7 @@
   try {
     this->Flusher.add(Open);
   } catch (const std::system_error &) {
-    // Half an answer must end as a broken connection.
+    // An incomplete answer must end in a broken connection.
     Open->end();
   }
 }
--- a/http/answer_writer.h
+++ b/http/answer_writer.h
@@ -1,7 +1,7 @@
-//===- http/answer_writer.h - Answers on their way out ----------*- C++ -*-===//
+//===- http/answer_writer.h - Writes and counts answers ---------*- C++ -*-===//
 ///
 /// \file
-/// Writes the answers of one server to their connections, and counts them.
+/// Writes the answers of a server to their connections and counts them.
 ///
 //===----------------------------------------------------------------------===//
 #ifndef YARDWHEEL_HTTP_ANSWER_WRITER_H
@@ -17,16 +17,17 @@
 
 namespace yardwheel {
 
-/// For any thread.
+/// Thread-safe.
 class AnswerWriter {
 public:
-  /// Writes the answer with that place, now or as its caller reads.
+  /// Writes the answer with this sequence number, now or as its caller reads.
   /// \param Open May be null if the connection has ended.
-  void write(const std::shared_ptr<HttpConnection> &Open, std::uint64_t Place,
-             const HttpAnswer &Answer, const AnswerForm &Form);
-  /// Writes an answer of the server's own, the last on its connection.
+  void write(const std::shared_ptr<HttpConnection> &Open,
+             std::uint64_t Sequence, const HttpAnswer &Answer,
+             const AnswerForm &Form);
+  /// Writes an answer made by the server itself, the last on its connection.
   void writeLast(const std::shared_ptr<HttpConnection> &Open,
-                 std::uint64_t Place, const HttpAnswer &Answer);
+                 std::uint64_t Sequence, const HttpAnswer &Answer);
 
   AnswerCounters &counters() { return this->Counters; }
 
--- a/http/connection_watch.cpp
+++ b/http/connection_watch.cpp
@@ -7,12 +7,12 @@
 
 namespace {
 
-/// Between two looks: each wakes the process.
-constexpr Duration LookEvery = std::chrono::milliseconds(500);
+/// The minimum time between two checks, as each wakes the process.
+constexpr Duration MinCheckInterval = std::chrono::milliseconds(500);
 
-/// Until a connection is looked at again, so that those that have been closed
-/// meanwhile are not remembered for long.
-constexpr Duration LookWithin = std::chrono::seconds(5);
+/// The maximum time between two checks of a connection, so that closed ones are
+/// soon removed.
+constexpr Duration MaxCheckInterval = std::chrono::seconds(5);
 
 TimePoint now() {
   return std::chrono::time_point_cast<Duration>(BootClock::now());
@@ -20,8 +20,9 @@
 
 } // namespace
 
-ConnectionWatch::ConnectionWatch(LateRequest Tell)
-    : Tell(std::move(Tell)), Thread([this] { this->run(); }) {}
+ConnectionWatch::ConnectionWatch(LateRequest OnLateRequest)
+    : OnLateRequest(std::move(OnLateRequest)), Thread([this] { this->run(); }) {
+}
 
 ConnectionWatch::~ConnectionWatch() {
   {
@@ -38,26 +39,26 @@
     return;
   std::lock_guard Lock(this->Mutex);
   bool WasEmpty = this->Watched.empty();
-  this->Watched.emplace(std::min(*First, now() + LookWithin), New);
+  this->Watched.emplace(std::min(*First, now() + MaxCheckInterval), New);
   if (WasEmpty)
     this->Changed.notify_all();
 }
 
 void ConnectionWatch::run() {
-  Lines Due;
+  Schedule Due;
   while (this->takeDue(Due)) {
-    this->look(Due);
+    this->checkDue(Due);
     Due.clear();
   }
 }
 
-bool ConnectionWatch::takeDue(Lines &Due) {
+bool ConnectionWatch::takeDue(Schedule &Due) {
   std::unique_lock Lock(this->Mutex);
   this->Changed.wait(
       Lock, [this] { return this->Stopping || !this->Watched.empty(); });
   if (!this->Stopping) {
     Duration Wait = this->Watched.begin()->first - now();
-    this->Changed.wait_for(Lock, std::max(Wait, LookEvery),
+    this->Changed.wait_for(Lock, std::max(Wait, MinCheckInterval),
                            [this] { return this->Stopping; });
   }
   auto Later = this->Watched.upper_bound(now());
@@ -66,17 +67,17 @@
   return !this->Stopping;
 }
 
-void ConnectionWatch::look(const Lines &Due) {
-  Lines Next;
-  for (const auto &[Time, Line] : Due) {
-    std::shared_ptr<HttpConnection> Open = Line.lock();
+void ConnectionWatch::checkDue(const Schedule &Due) {
+  Schedule Next;
+  for (const auto &[Time, Watching] : Due) {
+    std::shared_ptr<HttpConnection> Open = Watching.lock();
     if (!Open)
       continue;
     TimeoutCheck Found = Open->checkTimeouts();
     if (Found.LateRequest)
-      this->Tell(Open, *Found.LateRequest);
+      this->OnLateRequest(Open, *Found.LateRequest);
     if (Found.Next)
-      Next.emplace(std::min(*Found.Next, now() + LookWithin), Open);
+      Next.emplace(std::min(*Found.Next, now() + MaxCheckInterval), Open);
   }
   std::lock_guard Lock(this->Mutex);
   this->Watched.merge(Next);
--- a/http/connection_watch.h
+++ b/http/connection_watch.h
@@ -1,10 +1,10 @@
 //===- http/connection_watch.h - Timeouts of connections --------*- C++ -*-===//
 ///
 /// \file
-/// A thread that looks at each connection when its next timeout may have
-/// passed. The HTTP library's own timeouts are not used: it writes its 408 past
-/// our answers, by the number of a descriptor that may have been given on, and
-/// knows of none in a connection's second request.
+/// A thread that checks each connection when its next timeout may have expired.
+/// The timeouts of the HTTP library are not used: it writes its 408 without
+/// regard to our answers, to a descriptor number that may have been reused, and
+/// has no timeout for the second request of a connection.
 ///
 //===----------------------------------------------------------------------===//
 #ifndef YARDWHEEL_HTTP_CONNECTION_WATCH_H
@@ -23,34 +23,33 @@
 
 class ConnectionWatch {
 public:
-  /// \param Tell Answers a late request on a connection, at the place given;
-  /// called on the watch's thread.
+  /// Answers a late request on a connection, with the given sequence number.
+  /// Called on the watch's thread.
   using LateRequest = std::function<void(
-      const std::shared_ptr<HttpConnection> &Late, std::uint64_t Place)>;
+      const std::shared_ptr<HttpConnection> &Late, std::uint64_t Sequence)>;
 
-  /// \throws std::system_error if no thread can be had.
-  explicit ConnectionWatch(LateRequest Tell);
+  /// \throws std::system_error if no thread can be created.
+  explicit ConnectionWatch(LateRequest OnLateRequest);
   ~ConnectionWatch();
   ConnectionWatch(const ConnectionWatch &) = delete;
   ConnectionWatch &operator=(const ConnectionWatch &) = delete;
 
-  /// Watches a connection until it ends, and does not keep it open; for any
-  /// thread.
+  /// Watches a connection until it ends. Does not keep it open. Thread-safe.
   void add(const std::shared_ptr<HttpConnection> &New);
 
 private:
-  using Lines = std::multimap<TimePoint, std::weak_ptr<HttpConnection>>;
+  using Schedule = std::multimap<TimePoint, std::weak_ptr<HttpConnection>>;
 
   void run();
-  /// Waits for the first timeout, and takes out all that have passed.
-  /// \returns false once the watch ends.
-  bool takeDue(Lines &Due);
-  void look(const Lines &Due);
+  /// Waits for the next timeout and removes all expired ones from Watched.
+  /// \returns false once the watch is being stopped.
+  bool takeDue(Schedule &Due);
+  void checkDue(const Schedule &Due);
 
-  LateRequest Tell;
+  LateRequest OnLateRequest;
   std::mutex Mutex;
   std::condition_variable Changed;
-  Lines Watched;
+  Schedule Watched;
   bool Stopping = false;
   std::thread Thread;
 };
--- a/http/http_client.h
+++ b/http/http_client.h
@@ -1,4 +1,4 @@
-//===- http/http_client.h - Single HTTP calls through libcurl ---*- C++ -*-===//
+//===- http/http_client.h - Blocking HTTP calls by libcurl ------*- C++ -*-===//
 ///
 /// \file
 /// A small blocking client for the tools and the tests.
@@ -14,14 +14,14 @@
 namespace yardwheel {
 
 struct HttpResult {
-  /// 0 if there was no answer.
+  /// The HTTP status; 0 if there was no answer.
   long Status = 0;
   std::string Body;
-  /// What went wrong where Status is 0.
+  /// The error if Status is 0.
   std::string Problem;
 };
 
-/// Keeps its connection between calls. Not for use by two threads at once.
+/// Keeps its connection open between calls. Not thread-safe.
 class HttpClient {
 public:
   explicit HttpClient(std::chrono::milliseconds Timeout);
@@ -29,7 +29,7 @@
   HttpClient(const HttpClient &) = delete;
   HttpClient &operator=(const HttpClient &) = delete;
 
-  /// \param Method Such as "GET". Redirects are followed with the method kept.
+  /// \param Method For example "GET". Kept when a redirect is followed.
   HttpResult call(const std::string &Method, const std::string &Url,
                   const std::string &Body = "");
 
--- a/http/http_connection.cpp
+++ b/http/http_connection.cpp
@@ -10,12 +10,12 @@
 
 namespace {
 
-/// A caller that sends on after its last answer is read, or else it would lose
-/// that answer to a reset; but not without end.
+/// How much input is discarded after the last answer. A caller that still sends
+/// is read up to this limit, as it would lose the answer to a reset otherwise.
 constexpr std::size_t MaxDiscardedBytes = std::size_t{16} << 20;
 
-/// Of a connection's answers that its caller has not read when the next one is
-/// due. One answer of any size may wait, and a slow reader gets it whole.
+/// The maximum of a connection's unsent data when its next answer is written. A
+/// single answer of any size may wait, so that a slow reader gets all of it.
 constexpr std::size_t MaxUnreadBytes = std::size_t{4} << 20;
 
 TimePoint now() {
@@ -26,74 +26,74 @@
 
 void resetWhenClosed(int Descriptor) {
   linger Hard{.l_onoff = 1, .l_linger = 0};
-  // Where this fails, the end is an orderly one.
+  // If this fails, the connection is closed normally.
   ::setsockopt(Descriptor, SOL_SOCKET, SO_LINGER, &Hard, sizeof Hard);
 }
 
 HttpConnection::HttpConnection(int Descriptor,
                                const ConnectionTimeouts &Timeouts)
-    : Own(::fcntl(Descriptor, F_DUPFD_CLOEXEC, 0)), Timeouts(Timeouts),
-      WaitsSince(now()) {}
+    : OwnDescriptor(::fcntl(Descriptor, F_DUPFD_CLOEXEC, 0)),
+      Timeouts(Timeouts), WaitingSince(now()) {}
 
-std::optional<std::uint64_t> HttpConnection::expectAnswer() {
+std::optional<std::uint64_t> HttpConnection::reserveAnswer() {
   std::lock_guard Lock(this->Mutex);
-  return this->expectLocked();
+  return this->reserveLocked();
 }
 
-std::optional<std::uint64_t> HttpConnection::expectLastAnswer() {
+std::optional<std::uint64_t> HttpConnection::reserveLastAnswer() {
   std::lock_guard Lock(this->Mutex);
-  std::optional<std::uint64_t> Place = this->expectLocked();
-  if (Place)
-    this->LastPlace = Place;
-  return Place;
+  std::optional<std::uint64_t> Sequence = this->reserveLocked();
+  if (Sequence)
+    this->LastSequence = Sequence;
+  return Sequence;
 }
 
-std::optional<std::uint64_t> HttpConnection::expectLocked() {
-  if (this->LastPlace)
+std::optional<std::uint64_t> HttpConnection::reserveLocked() {
+  if (this->LastSequence)
     return std::nullopt;
   this->InRequest = false;
-  return this->NextPlace++;
+  return this->NextSequence++;
 }
 
-bool HttpConnection::makeLast(std::uint64_t Place) {
+bool HttpConnection::makeLast(std::uint64_t Sequence) {
   std::lock_guard Lock(this->Mutex);
-  if (this->NextPlace != Place + 1)
+  if (this->NextSequence != Sequence + 1)
     return false;
-  this->LastPlace = Place;
+  this->LastSequence = Sequence;
   return true;
 }
 
 bool HttpConnection::takesRequests() const {
   std::lock_guard Lock(this->Mutex);
-  return !this->LastPlace;
+  return !this->LastSequence;
 }
 
 std::uint64_t HttpConnection::pendingAnswers() const {
   std::lock_guard Lock(this->Mutex);
-  return this->NextPlace - this->NextToLeave;
+  return this->NextSequence - this->NextToSend;
 }
 
-WriteState HttpConnection::answer(std::uint64_t Place, std::string Text) {
+WriteState HttpConnection::answer(std::uint64_t Sequence, std::string Text) {
   std::lock_guard Lock(this->Mutex);
   if (this->Unwritten.size() > MaxUnreadBytes)
-    this->cutOffLocked();
-  if (this->Own < 0)
+    this->resetLocked();
+  if (this->OwnDescriptor < 0)
     return WriteState::Gone;
-  this->Early[Place] = std::move(Text);
-  auto Ready = this->Early.find(this->NextToLeave);
-  while (Ready != this->Early.end()) {
+  this->OutOfOrder[Sequence] = std::move(Text);
+  auto Ready = this->OutOfOrder.find(this->NextToSend);
+  while (Ready != this->OutOfOrder.end()) {
     this->Unwritten += Ready->second;
-    this->Early.erase(Ready);
-    Ready = this->Early.find(++this->NextToLeave);
+    this->OutOfOrder.erase(Ready);
+    Ready = this->OutOfOrder.find(++this->NextToSend);
   }
   if (!this->InRequest)
-    this->WaitsSince = now();
+    this->WaitingSince = now();
   return this->writeOut();
 }
 
 WriteState HttpConnection::writeInterim(const std::string &Text) {
   std::lock_guard Lock(this->Mutex);
-  if (this->NextToLeave == this->NextPlace)
+  if (this->NextToSend == this->NextSequence)
     this->Unwritten += Text;
   return this->writeOut();
 }
@@ -104,8 +104,8 @@
 }
 
 WriteState HttpConnection::writeOut() {
-  while (this->Own >= 0 && !this->Unwritten.empty()) {
-    ssize_t Count = ::send(this->Own, this->Unwritten.data(),
+  while (this->OwnDescriptor >= 0 && !this->Unwritten.empty()) {
+    ssize_t Count = ::send(this->OwnDescriptor, this->Unwritten.data(),
                            this->Unwritten.size(), MSG_DONTWAIT | MSG_NOSIGNAL);
     if (Count >= 0) {
       this->Unwritten.erase(0, static_cast<std::size_t>(Count));
@@ -117,9 +117,9 @@
       return WriteState::Blocked;
     this->endLocked();
   }
-  if (this->Own < 0)
+  if (this->OwnDescriptor < 0)
     return WriteState::Gone;
-  if (this->LastPlace && this->NextToLeave > *this->LastPlace)
+  if (this->LastSequence && this->NextToSend > *this->LastSequence)
     this->finishLocked();
   return WriteState::Done;
 }
@@ -127,9 +127,9 @@
 void HttpConnection::finishLocked() {
   if (this->FinishedAt)
     return;
-  // The way in stays open: a connection that is closed on unread input is
-  // reset, which would take the answer away from a caller that sends on.
-  ::shutdown(this->Own, SHUT_WR);
+  // The receiving side stays open: closing a connection with unread input
+  // resets it, and a caller that still sends would lose the answer.
+  ::shutdown(this->OwnDescriptor, SHUT_WR);
   this->FinishedAt = now();
 }
 
@@ -144,63 +144,63 @@
 }
 
 void HttpConnection::endLocked() {
-  // The HTTP library holds the connection open by a descriptor of its own.
-  if (this->Own >= 0)
-    ::shutdown(this->Own, SHUT_RDWR);
+  // Needed since the HTTP library keeps its own descriptor open.
+  if (this->OwnDescriptor >= 0)
+    ::shutdown(this->OwnDescriptor, SHUT_RDWR);
   this->closeLocked();
 }
 
-void HttpConnection::cutOffLocked() {
-  if (this->Own >= 0)
-    resetWhenClosed(this->Own);
+void HttpConnection::resetLocked() {
+  if (this->OwnDescriptor >= 0)
+    resetWhenClosed(this->OwnDescriptor);
   this->endLocked();
 }
 
 void HttpConnection::closeLocked() {
-  if (this->Own >= 0)
-    ::close(std::exchange(this->Own, -1));
+  if (this->OwnDescriptor >= 0)
+    ::close(std::exchange(this->OwnDescriptor, -1));
   this->Unwritten.clear();
-  this->Early.clear();
+  this->OutOfOrder.clear();
 }
 
 void HttpConnection::noteInput(std::size_t Bytes, bool InRequest) {
   std::lock_guard Lock(this->Mutex);
-  if (this->LastPlace) {
+  if (this->LastSequence) {
     this->Discarded += Bytes;
     if (this->Discarded > MaxDiscardedBytes)
-      this->cutOffLocked();
+      this->resetLocked();
     return;
   }
   if (InRequest && !this->InRequest)
-    this->WaitsSince = now();
+    this->WaitingSince = now();
   this->InRequest = InRequest;
 }
 
 TimeoutCheck HttpConnection::checkTimeouts() {
   std::lock_guard Lock(this->Mutex);
   TimePoint Now = now();
-  if (this->Own < 0)
+  if (this->OwnDescriptor < 0)
     return {};
   if (this->FinishedAt)
-    return this->endFrom(*this->FinishedAt + this->Timeouts.Linger, Now);
-  if (this->InRequest && !this->LastPlace) {
-    TimePoint Limit = this->WaitsSince + this->Timeouts.Request;
+    return this->endIfExpired(*this->FinishedAt + this->Timeouts.Linger, Now);
+  if (this->InRequest && !this->LastSequence) {
+    TimePoint Limit = this->WaitingSince + this->Timeouts.Request;
     if (Now < Limit)
       return {.Next = Limit};
-    this->LastPlace = this->expectLocked();
-    return {.LateRequest = this->LastPlace, .Next = Now};
+    this->LastSequence = this->reserveLocked();
+    return {.LateRequest = this->LastSequence, .Next = Now};
   }
-  bool CallerWaits =
-      this->NextToLeave != this->NextPlace || !this->Unwritten.empty();
-  if (CallerWaits)
+  bool AwaitsAnswer =
+      this->NextToSend != this->NextSequence || !this->Unwritten.empty();
+  if (AwaitsAnswer)
     return {.Next = Now + this->Timeouts.Request};
-  bool IsNew = this->NextPlace == 0;
-  return this->endFrom(
-      this->WaitsSince + (IsNew ? this->Timeouts.Request : this->Timeouts.Idle),
-      Now);
+  bool IsNew = this->NextSequence == 0;
+  return this->endIfExpired(this->WaitingSince + (IsNew ? this->Timeouts.Request
+                                                        : this->Timeouts.Idle),
+                            Now);
 }
 
-TimeoutCheck HttpConnection::endFrom(TimePoint Limit, TimePoint Now) {
+TimeoutCheck HttpConnection::endIfExpired(TimePoint Limit, TimePoint Now) {
   if (Now < Limit)
     return {.Next = Limit};
   this->endLocked();
@@ -209,26 +209,27 @@
 
 bool HttpConnection::hasCaller() const {
   std::lock_guard Lock(this->Mutex);
-  if (this->Own < 0)
+  if (this->OwnDescriptor < 0)
     return false;
   char Next = 0;
   ssize_t Count =
-      ::recv(this->Own, &Next, sizeof Next, MSG_PEEK | MSG_DONTWAIT);
-  // A connection that was closed by the other end reads as empty, one that was
-  // reset as an error.
-  bool IsQuiet =
+      ::recv(this->OwnDescriptor, &Next, sizeof Next, MSG_PEEK | MSG_DONTWAIT);
+  // A connection that was closed by the peer reads as empty, one that was reset
+  // as an error.
+  bool IsOpen =
       Count < 0 && (errno == EAGAIN || errno == EWOULDBLOCK || errno == EINTR);
-  return Count > 0 || IsQuiet;
+  return Count > 0 || IsOpen;
 }
 
 std::optional<RequestAge> HttpConnection::inputAge() const {
   std::lock_guard Lock(this->Mutex);
-  return this->Own < 0 ? std::nullopt : findInputAge(this->Own);
+  return this->OwnDescriptor < 0 ? std::nullopt
+                                 : findInputAge(this->OwnDescriptor);
 }
 
 int HttpConnection::descriptor() const {
   std::lock_guard Lock(this->Mutex);
-  return this->Own;
+  return this->OwnDescriptor;
 }
 
 } // namespace yardwheel
--- a/http/http_connection.h
+++ b/http/http_connection.h
@@ -1,11 +1,11 @@
-//===- http/http_connection.h - Writes to one caller ------------*- C++ -*-===//
+//===- http/http_connection.h - Connection of one caller --------*- C++ -*-===//
 ///
 /// \file
-/// The server's own hold on one caller's connection, by which answers are
-/// written. It has a descriptor of its own: the HTTP library closes its one on
-/// its own thread, and the number then names the next caller's connection, so
-/// that answers written by that number reached other callers (5 of 21,079 on
-/// loopback, half of the callers leaving before their answer).
+/// The server's handle of a caller's connection, used to write answers. It
+/// duplicates the descriptor: the HTTP library closes its own on its own
+/// thread, and the number may then be reused for the next caller. Answers that
+/// were written to such a number reached other callers (5 of 21,079 on
+/// loopback, with half of the callers leaving before their answer).
 ///
 //===----------------------------------------------------------------------===//
 #ifndef YARDWHEEL_HTTP_HTTP_CONNECTION_H
@@ -24,11 +24,11 @@
 namespace yardwheel {
 
 enum class WriteState {
-  /// All is in the connection's buffer.
+  /// All data is in the connection's buffer.
   Done,
-  /// The rest has to be flushed once the connection takes more.
+  /// The rest must be flushed once the connection is writable.
   Blocked,
-  /// The connection is closed or broken; there is nobody to tell.
+  /// The connection is closed or broken; the caller cannot be reached.
   Gone,
 };
 
@@ -42,100 +42,100 @@
   Duration Linger{};
 };
 
-/// What a look at a connection's timeouts has found.
+/// The result of a check of a connection's timeouts.
 struct TimeoutCheck {
-  /// The place of the answer to a request that took too long to come: the
-  /// connection's last.
+  /// The sequence number of the answer to a request that took too long to
+  /// arrive. It is the connection's last answer.
   std::optional<std::uint64_t> LateRequest;
-  /// When to look again; none once the connection has ended.
+  /// The time of the next check; none once the connection has ended.
   std::optional<TimePoint> Next;
 };
 
-/// Makes the last close of a connection a reset, also once it is shut down. An
-/// orderly end tells a caller nothing that still sends into a closed window.
+/// Makes the final close of a connection send a reset, even after a shutdown. A
+/// caller that still sends into a closed window does not notice a normal close.
 void resetWhenClosed(int Descriptor);
 
-/// For any thread.
+/// Thread-safe.
 class HttpConnection {
 public:
-  /// \param Descriptor Of the connection, which must be open during the call.
+  /// \param Descriptor The connection; must be open during the call.
   HttpConnection(int Descriptor, const ConnectionTimeouts &Timeouts);
   ~HttpConnection() { this->close(); }
   HttpConnection(const HttpConnection &) = delete;
   HttpConnection &operator=(const HttpConnection &) = delete;
 
-  /// Takes a place among the answers on this connection, which leave in the
-  /// order of their requests: a caller can tell them apart by nothing else.
-  /// \returns none if an answer before it is the last, and the request must not
-  /// be handled.
-  std::optional<std::uint64_t> expectAnswer();
-  /// The same for the connection's last answer.
-  std::optional<std::uint64_t> expectLastAnswer();
-  /// Makes the answer with that place the connection's last, unless requests
-  /// behind it have been taken.
-  bool makeLast(std::uint64_t Place);
-  /// Whether further requests are read.
+  /// Reserves the next sequence number of the answers on this connection. They
+  /// are sent in the order of their requests, since a caller matches them only
+  /// by order. \returns none if an earlier answer is the last; the request must
+  /// then not be handled.
+  std::optional<std::uint64_t> reserveAnswer();
+  /// The same, and makes the answer the connection's last.
+  std::optional<std::uint64_t> reserveLastAnswer();
+  /// Makes the answer with this sequence number the connection's last, unless
+  /// later requests have been accepted. \returns whether it is.
+  bool makeLast(std::uint64_t Sequence);
+  /// Returns whether further requests are read.
   bool takesRequests() const;
-  /// Answers that have not left.
+  /// Returns the number of answers that are not yet ready to be sent.
   std::uint64_t pendingAnswers() const;
 
-  /// Writes the answer with that place, and those behind it that have waited
-  /// for it. After the last one the caller sees that no more will come. A
-  /// caller that leaves too much unread is reset instead.
-  WriteState answer(std::uint64_t Place, std::string Text);
-  /// Writes what precedes the next request's answer, unless others are due.
+  /// Writes the answer with this sequence number, and later ones that waited
+  /// for it. The sending side is shut down after the last answer. If the caller
+  /// has left too much data unread, the connection is reset instead.
+  WriteState answer(std::uint64_t Sequence, std::string Text);
+  /// Writes an interim response, unless earlier answers are pending.
   WriteState writeInterim(const std::string &Text);
-  /// Writes on what did not fit before.
+  /// Writes the data that did not fit before.
   WriteState flush();
-  /// Nothing is written after this returns.
+  /// Releases the connection. Nothing is written after this returns.
   void close();
-  /// The same, and the caller sees the connection end: what it waits for
-  /// cannot come.
+  /// The same, and shuts the connection down, so that the caller does not wait
+  /// for answers that cannot come.
   void end();
-  /// Whether nothing can be written any more.
+  /// Returns whether the connection has been released.
   bool hasEnded() const { return this->descriptor() < 0; }
 
-  /// Notes what has been read: whether it ends within a request, and its size.
+  /// Records input: its size, and whether it ends within a request.
   void noteInput(std::size_t Bytes, bool InRequest);
-  /// Ends the connection if its caller has taken too long.
+  /// Ends the connection if a timeout has expired.
   TimeoutCheck checkTimeouts();
 
-  /// Whether the caller has not closed its connection, as far as is known
-  /// here; costs a system call.
+  /// Returns whether the caller still has its connection open, as far as this
+  /// host knows. Costs a system call.
   bool hasCaller() const;
-  /// For how long what was last read has been here; none where the host does
-  /// not tell, or once closed; costs system calls.
+  /// Returns the age of the last input; none if the host does not provide it or
+  /// the connection is closed. Costs system calls.
   std::optional<RequestAge> inputAge() const;
-  /// To wait until more can be written; -1 once closed. The number may be
-  /// somebody else's as soon as this returns: it must not be written to.
+  /// Returns the descriptor, only to poll for writability; -1 once closed. Do
+  /// not write to it, as the number may be reused as soon as this returns.
   int descriptor() const;
 
 private:
-  std::optional<std::uint64_t> expectLocked();
+  std::optional<std::uint64_t> reserveLocked();
   WriteState writeOut();
   void finishLocked();
-  TimeoutCheck endFrom(TimePoint Limit, TimePoint Now);
+  TimeoutCheck endIfExpired(TimePoint Limit, TimePoint Now);
   void endLocked();
-  /// Ends the connection without regard to what is under way to its caller.
-  void cutOffLocked();
+  /// Resets the connection; data in transit to the caller may be lost.
+  void resetLocked();
   void closeLocked();
 
   mutable std::mutex Mutex;
-  int Own = -1;
+  int OwnDescriptor = -1;
   const ConnectionTimeouts Timeouts;
-  std::uint64_t NextPlace = 0;
-  std::uint64_t NextToLeave = 0;
-  std::optional<std::uint64_t> LastPlace;
-  /// Answers whose predecessors are not ready.
-  std::map<std::uint64_t, std::string> Early;
+  std::uint64_t NextSequence = 0;
+  std::uint64_t NextToSend = 0;
+  std::optional<std::uint64_t> LastSequence;
+  /// Answers that wait for earlier ones.
+  std::map<std::uint64_t, std::string> OutOfOrder;
   std::string Unwritten;
-  /// Since when the connection waits: for a first or next request, or for the
+  /// The start of the current wait: for the first or next request, or for the
   /// rest of one.
-  TimePoint WaitsSince;
+  TimePoint WaitingSince;
   bool InRequest = false;
-  /// Since when all has been written and the caller has to close.
+  /// When the last answer was written; the caller has to close after it.
   std::optional<TimePoint> FinishedAt;
-  /// Read after the last request.
+  /// Bytes read after the last request.
   std::size_t Discarded = 0;
 };
 
--- a/http/http_message.cpp
+++ b/http/http_message.cpp
@@ -25,7 +25,7 @@
   };
   AddHeader("Content-Type", Answer.ContentType);
   if (Answer.RetryAfter.count() > 0)
-    // HTTP counts in whole seconds; the body has the milliseconds.
+    // The header has whole seconds; the body contains the milliseconds.
     AddHeader(
         "Retry-After",
         std::chrono::ceil<std::chrono::seconds>(Answer.RetryAfter).count());
--- a/http/http_message.h
+++ b/http/http_message.h
@@ -1,8 +1,8 @@
 //===- http/http_message.h - Requests and answers ---------------*- C++ -*-===//
 ///
 /// \file
-/// A request as handlers get it and an answer as they give it, without the
-/// bytes on the wire.
+/// Requests and answers as handlers see them, independent of their format on
+/// the wire.
 ///
 //===----------------------------------------------------------------------===//
 #ifndef YARDWHEEL_HTTP_HTTP_MESSAGE_H
@@ -42,17 +42,17 @@
 
 struct HttpRequest {
   HttpMethod Method = HttpMethod::Other;
-  /// The path's parts, percent-decoded.
+  /// The components of the path, percent-decoded.
   std::vector<std::string> Path;
   /// The path as it was sent.
   std::string Resource;
   std::string Body;
-  /// The headers by which an agent names a task to its upstream; else empty.
+  /// The headers in which an agent names a task to its upstream; else empty.
   std::string Job;
   std::string Task;
-  /// The headers that the server's options name, where the request has them.
+  /// Those headers of the request that the server's options name.
   std::map<std::string, std::string> Headers;
-  /// Names the connection that the request came on.
+  /// The id of the request's connection.
   std::uint64_t Connection = 0;
 };
 
@@ -60,25 +60,25 @@
   HttpStatus Status = HttpStatus::Ok;
   std::string Body;
   std::string ContentType = "application/json";
-  /// When a client should come back; 0 says nothing.
+  /// When the client should retry; no header is sent if 0.
   std::chrono::milliseconds RetryAfter{};
-  /// Where a redirected client should go.
+  /// The target of a redirect.
   std::string Location;
-  /// Ends the connection, for the client's next request to find another
+  /// Closes the connection, so that the client's next request can reach another
   /// process.
   bool Close = false;
 };
 
-/// What a request says of the form of its answer.
+/// The form of an answer, as determined by its request.
 struct AnswerForm {
   bool IsHttp10 = false;
   /// Whether the connection stays open for another request.
   bool KeepsConnection = true;
-  /// The body of an answer to HEAD is only told the length of.
+  /// False for HEAD: only the length of the body is sent.
   bool HasBody = true;
 };
 
-/// The answer's head and body, as they are sent.
+/// Returns the answer's head and body in wire format.
 std::string describeAnswer(const HttpAnswer &Answer, const AnswerForm &Form);
 
 } // namespace yardwheel
--- a/http/http_server.cpp
+++ b/http/http_server.cpp
@@ -18,27 +18,28 @@
 
 namespace {
 
-/// After its last answer, for a caller to close the connection.
+/// How long a caller may take to close the connection after its last answer.
 constexpr Duration LingerTimeout = std::chrono::seconds(5);
 
-/// Requests on one connection that wait for their answers. A caller that sends
-/// more without reading is not served at the others' cost.
+/// The maximum number of unanswered requests on a connection. A caller that
+/// sends more without reading must not be served at the expense of others.
 constexpr std::uint64_t MaxPendingAnswers = 64;
 
-/// The library ends no connection by itself within this: ConnectionWatch does.
+/// Long enough to disable the library's timeouts; ConnectionWatch has our own.
 constexpr std::chrono::hours LibraryTimeout{24 * 365};
 
-/// Sent to a caller that asks before it sends a body.
+/// Sent to a caller that expects it before it sends the body.
 constexpr const char *ContinueAnswer = "HTTP/1.1 100 Continue\r\n\r\n";
 
-/// An answer of the server's own, which knows no handler's format.
+/// Makes an answer of the server itself, independent of the handler's format.
 HttpAnswer plainAnswer(const ReadRefusal &Why) {
   return {.Status = Why.Status,
           .Body = Why.Reason + ".\n",
           .ContentType = "text/plain"};
 }
 
-/// What the connections and replies of one server share; they may outlive it.
+/// State shared by the connections and replies of a server, which may outlive
+/// the server.
 struct ServerState {
   explicit ServerState(const HttpServerOptions &Options)
       : Reading{.MaxBodyBytes = Options.MaxBodyBytes,
@@ -47,9 +48,9 @@
                  .Idle = Options.IdleTimeout,
                  .Linger = LingerTimeout},
         Watch([this](const std::shared_ptr<HttpConnection> &Late,
-                     std::uint64_t Place) {
+                     std::uint64_t Sequence) {
           this->Answers.writeLast(
-              Late, Place,
+              Late, Sequence,
               plainAnswer({HttpStatus::RequestTimeout,
                            "the request took too long to come"}));
         }) {}
@@ -57,40 +58,41 @@
   const ReaderOptions Reading;
   const ConnectionTimeouts Timeouts;
   AnswerWriter Answers;
-  /// Last: its thread uses the others.
+  /// Declared last, as its thread uses the other members.
   ConnectionWatch Watch;
 };
 
-/// What is known of one connection, kept with the library's peer, so that both
-/// end together.
-struct Intake {
-  Intake(int Descriptor, const ServerState &Server)
+/// The state of a connection, stored in the library's peer object and destroyed
+/// with it.
+struct ConnectionState {
+  ConnectionState(int Descriptor, const ServerState &Server)
       : Reader(Server.Reading), Connection(std::make_shared<HttpConnection>(
                                     Descriptor, Server.Timeouts)) {}
   RequestReader Reader;
   std::shared_ptr<HttpConnection> Connection;
 };
 
-constexpr const char *IntakeKey = "intake";
+constexpr const char *ConnectionStateKey = "intake";
 
-std::shared_ptr<Intake>
-intakeOf(const std::shared_ptr<Pistache::Tcp::Peer> &Peer) {
-  return std::static_pointer_cast<Intake>(Peer->tryGetData(IntakeKey));
+std::shared_ptr<ConnectionState>
+connectionStateOf(const std::shared_ptr<Pistache::Tcp::Peer> &Peer) {
+  return std::static_pointer_cast<ConnectionState>(
+      Peer->tryGetData(ConnectionStateKey));
 }
 
 class ConnectionReply final : public HttpReply {
 public:
   ConnectionReply(const AnswerForm &Form,
                   const std::shared_ptr<HttpConnection> &Connection,
-                  std::uint64_t Place, bool EndsInput,
+                  std::uint64_t Sequence, bool IsLastInput,
                   std::shared_ptr<ServerState> Server)
-      : Form(Form), Connection(Connection), Place(Place), EndsInput(EndsInput),
-        Server(std::move(Server)) {
+      : Form(Form), Connection(Connection), Sequence(Sequence),
+        IsLastInput(IsLastInput), Server(std::move(Server)) {
     this->Server->Answers.counters().countRequest();
   }
 
-  /// A reply that is dropped would hold back all later answers on its
-  /// connection.
+  /// Ends the connection if the reply was dropped, which would otherwise block
+  /// all later answers on it.
   ~ConnectionReply() override {
     if (this->Sent.load())
       return;
@@ -105,11 +107,11 @@
     if (this->Sent.exchange(true))
       return;
     std::shared_ptr<HttpConnection> Open = this->Connection.lock();
-    // Where requests behind this one have been taken, the connection has to
-    // stay for their answers.
-    if (Answer.Close && Open && Open->makeLast(this->Place))
+    // If later requests have been accepted, the connection has to stay open for
+    // their answers.
+    if (Answer.Close && Open && Open->makeLast(this->Sequence))
       this->Form.KeepsConnection = false;
-    this->Server->Answers.write(Open, this->Place, Answer, this->Form);
+    this->Server->Answers.write(Open, this->Sequence, Answer, this->Form);
     this->Server->Answers.counters().countSettled();
   }
 
@@ -121,26 +123,26 @@
   std::optional<RequestAge> age() const override {
     std::shared_ptr<HttpConnection> Open = this->Connection.lock();
     std::optional<RequestAge> Age = Open ? Open->inputAge() : std::nullopt;
-    if (Age && !this->EndsInput)
+    if (Age && !this->IsLastInput)
       Age->AtMost.reset();
     return Age;
   }
 
 private:
   AnswerForm Form;
-  /// Ends with the library's peer.
+  /// Destroyed with the library's peer object.
   std::weak_ptr<HttpConnection> Connection;
-  std::uint64_t Place;
-  /// Whether nothing behind the request had been read with it.
-  bool EndsInput;
+  std::uint64_t Sequence;
+  /// Whether no input after the request was read together with it.
+  bool IsLastInput;
   std::shared_ptr<ServerState> Server;
   std::atomic<bool> Sent{false};
 };
 
-/// Reads connections in the library's place. The library answers what it
-/// cannot read past our answers, forgets it, and takes what follows for the
-/// next request; it drops what comes in one segment behind a request. So it
-/// only gets us the bytes.
+/// Parses requests instead of the library, which only delivers the bytes. The
+/// library answers a malformed request without regard to our answers, discards
+/// it and takes the following bytes for the next request. It also drops bytes
+/// that arrive in the same segment after a request.
 class PistacheHandler final : public Pistache::Http::Handler {
 public:
   HTTP_PROTOTYPE(PistacheHandler)
@@ -150,13 +152,14 @@
       : Target(std::move(Target)), Server(std::move(Server)) {}
 
   void onConnection(const std::shared_ptr<Pistache::Tcp::Peer> &Peer) override {
-    // The library looks for a parser and its age at each connection.
+    // The library expects every connection to have a parser with its age.
     Peer->putData(ParserData,
                   std::make_shared<Pistache::Http::RequestParser>(0));
     Peer->setIdle(true);
-    auto New = std::make_shared<Intake>(Peer->fd(), *this->Server);
-    Peer->putData(IntakeKey, New);
-    // Without a descriptor there is no answer; the caller learns it at once.
+    auto New = std::make_shared<ConnectionState>(Peer->fd(), *this->Server);
+    Peer->putData(ConnectionStateKey, New);
+    // No answer can be written without a descriptor, so the caller must learn
+    // of it at once.
     if (New->Connection->descriptor() < 0)
       ::shutdown(Peer->fd(), SHUT_RDWR);
     this->Server->Watch.add(New->Connection);
@@ -164,37 +167,37 @@
 
   void onInput(const char *Bytes, std::size_t Size,
                const std::shared_ptr<Pistache::Tcp::Peer> &Peer) override {
-    std::shared_ptr<Intake> Known = intakeOf(Peer);
+    std::shared_ptr<ConnectionState> Known = connectionStateOf(Peer);
     if (!Known)
       return;
     HttpConnection &Connection = *Known->Connection;
     if (Connection.hasEnded()) {
-      // The library reads what is left and then closes; the kernel, which
-      // resets a connection that is closed on unread input, finds none.
+      // The library reads the remaining input before it closes, so the kernel
+      // would not reset the connection for unread input.
       resetWhenClosed(Peer->fd());
       return;
     }
     if (Connection.takesRequests())
       this->read(*Known, {Bytes, Size}, Peer->getID());
     Connection.noteInput(Size, Known->Reader.isInRequest());
-    if (Known->Reader.takeContinueWish())
+    if (Known->Reader.takeContinueExpectation())
       Connection.writeInterim(ContinueAnswer);
   }
 
   void
   onDisconnection(const std::shared_ptr<Pistache::Tcp::Peer> &Peer) override {
-    // The last moment at which the descriptor's number is surely this one's.
-    if (std::shared_ptr<Intake> Known = intakeOf(Peer))
+    // Closed here, as the descriptor number may be reused after this call.
+    if (std::shared_ptr<ConnectionState> Known = connectionStateOf(Peer))
       Known->Connection->close();
     this->Target->onDisconnect(Peer->getID());
   }
 
-  /// Not called, as the library reads nothing.
+  /// Never called, as the library does not parse requests.
   void onRequest(const Pistache::Http::Request &,
                  Pistache::Http::ResponseWriter) override {}
 
 private:
-  void read(Intake &Known, std::string_view Bytes, std::uint64_t Id) {
+  void read(ConnectionState &Known, std::string_view Bytes, std::uint64_t Id) {
     RequestReader &Reader = Known.Reader;
     Reader.feed(Bytes);
     while (Known.Connection->takesRequests()) {
@@ -208,7 +211,7 @@
       this->refuse(Known, *Reader.refusal());
   }
 
-  void take(Intake &Known, const ReadRequest &Next) {
+  void take(ConnectionState &Known, const ReadRequest &Next) {
     HttpConnection &Connection = *Known.Connection;
     if (Connection.pendingAnswers() >= MaxPendingAnswers) {
       this->refuse(Known, {HttpStatus::TooManyRequests,
@@ -216,14 +219,14 @@
                            "one has not run"});
       return;
     }
-    std::optional<std::uint64_t> Place = Next.Form.KeepsConnection
-                                             ? Connection.expectAnswer()
-                                             : Connection.expectLastAnswer();
-    // Its caller has just been told that it took too long.
-    if (!Place)
+    std::optional<std::uint64_t> Sequence =
+        Next.Form.KeepsConnection ? Connection.reserveAnswer()
+                                  : Connection.reserveLastAnswer();
+    // The caller has just been sent a timeout.
+    if (!Sequence)
       return;
     this->handle(Next.Request, std::make_shared<ConnectionReply>(
-                                   Next.Form, Known.Connection, *Place,
+                                   Next.Form, Known.Connection, *Sequence,
                                    !Known.Reader.hasMore(), this->Server));
   }
 
@@ -231,22 +234,23 @@
     try {
       this->Target->handle(Request, std::move(Reply));
     } catch (const std::exception &Problem) {
-      // The dropped reply has ended the connection.
-      this->Log.error("A request for {} was dropped: {}.", Request.Resource,
+      // The dropped reply has closed the connection.
+      this->Log.error("The handler of {} failed: {}.", Request.Resource,
                       Problem.what());
     }
   }
 
-  void refuse(Intake &Known, const ReadRefusal &Why) {
+  void refuse(ConnectionState &Known, const ReadRefusal &Why) {
     HttpConnection &Connection = *Known.Connection;
-    std::optional<std::uint64_t> Place = Connection.expectLastAnswer();
-    if (!Place)
+    std::optional<std::uint64_t> Sequence = Connection.reserveLastAnswer();
+    if (!Sequence)
       return;
     this->Log.decision("request_unread",
                        {{"status", static_cast<int>(Why.Status)},
                         {"reason", Why.Reason},
                         {"answers_pending", Connection.pendingAnswers() - 1}});
-    this->Server->Answers.writeLast(Known.Connection, *Place, plainAnswer(Why));
+    this->Server->Answers.writeLast(Known.Connection, *Sequence,
+                                    plainAnswer(Why));
   }
 
   std::shared_ptr<HttpHandler> Target;
--- a/http/http_server.h
+++ b/http/http_server.h
@@ -1,9 +1,9 @@
 //===- http/http_server.h - HTTP through Pistache ---------------*- C++ -*-===//
 ///
 /// \file
-/// The one place that knows Pistache, which accepts and reads connections. A
-/// handler gets a plain request and a reply that it may answer later, from any
-/// thread.
+/// The only part that uses Pistache, which accepts and reads connections. A
+/// handler gets a request and a reply object, which it may use later and from
+/// any thread.
 ///
 //===----------------------------------------------------------------------===//
 #ifndef YARDWHEEL_HTTP_HTTP_SERVER_H
@@ -22,23 +22,23 @@
 
 namespace yardwheel {
 
-/// Answers one request, once; later answers are dropped.
+/// Answers a request once; further answers are dropped.
 class HttpReply {
 public:
   virtual ~HttpReply() = default;
   virtual void send(const HttpAnswer &Answer) = 0;
-  /// Whether the client has not closed its connection, as far as is known
-  /// here; costs a system call.
+  /// Returns whether the client still has its connection open, as far as this
+  /// host knows. Costs a system call.
   virtual bool hasClient() const { return true; }
-  /// For how long the request has been here; none where the host does not
-  /// tell. To be asked while the request is handled; costs system calls.
+  /// Returns the age of the request; none if the host does not provide it. Only
+  /// valid while the request is being handled. Costs system calls.
   virtual std::optional<RequestAge> age() const { return std::nullopt; }
 };
 
 class HttpHandler {
 public:
   virtual ~HttpHandler() = default;
-  /// Called on the server's threads.
+  /// Handles a request. Called on the server's threads.
   virtual void handle(const HttpRequest &Request,
                       std::shared_ptr<HttpReply> Reply) = 0;
   /// Called on the server's threads when a client has closed its connection.
@@ -49,12 +49,12 @@
   std::string Listen;
   std::uint32_t Threads = 2;
   std::size_t MaxBodyBytes = 1048576;
-  /// For a whole request, from its first byte on, and for a new connection's
-  /// first byte.
+  /// The timeout for a whole request, from its first byte, and for the first
+  /// byte on a new connection.
   std::chrono::milliseconds HeaderTimeout{5000};
-  /// Between an answer and the next request on its connection.
+  /// The timeout between an answer and the next request on its connection.
   std::chrono::milliseconds IdleTimeout{300000};
-  /// Names of the headers that handlers ask for.
+  /// The names of the headers that handlers use.
   std::vector<std::string> Headers;
 };
 
@@ -68,7 +68,7 @@
   HttpServer &operator=(const HttpServer &) = delete;
 
   void stop();
-  /// The answers written so far; for any thread.
+  /// Returns the counters of written answers. Thread-safe.
   const AnswerCounters &answers() const;
 
 private:
--- a/http/json.cpp
+++ b/http/json.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-/// Bounds the part of a parser's message that is shown.
+/// The maximum length of a parser's error message, in bytes.
 constexpr std::size_t MaxProblemLength = 300;
 
 } // namespace
@@ -18,7 +18,7 @@
   std::string Text;
   auto Status =
       google::protobuf::util::MessageToJsonString(Document, &Text, Options);
-  // A result that is not UTF-8 cannot be written as JSON.
+  // Strings that are not UTF-8 cannot be written as JSON.
   return Status.ok() ? Text : "{}";
 }
 
--- a/http/json.h
+++ b/http/json.h
@@ -1,7 +1,7 @@
 //===- http/json.h - Typed documents as JSON --------------------*- C++ -*-===//
 ///
 /// \file
-/// Protobuf's JSON mapping, with the options that this project uses.
+/// Conversion of protobuf messages to and from JSON with fixed options.
 ///
 //===----------------------------------------------------------------------===//
 #ifndef YARDWHEEL_HTTP_JSON_H
@@ -14,8 +14,8 @@
 
 std::string toJson(const google::protobuf::Message &Document);
 
-/// Reads a document; unknown fields are errors.
-/// \returns an empty string, or what is wrong and where.
+/// Parses a document. Unknown fields are errors.
+/// \returns an empty string, or the error and its position.
 std::string fromJson(const std::string &Text,
                      google::protobuf::Message &Document);
 
--- a/http/metrics_page.h
+++ b/http/metrics_page.h
@@ -1,4 +1,4 @@
-//===- http/metrics_page.h - A process's metrics as text --------*- C++ -*-===//
+//===- http/metrics_page.h - Serves metrics as text -------------*- C++ -*-===//
 #ifndef YARDWHEEL_HTTP_METRICS_PAGE_H
 #define YARDWHEEL_HTTP_METRICS_PAGE_H
 
@@ -10,8 +10,8 @@
 
 namespace yardwheel {
 
-/// Serves the newest text that the process's loop has written, so that a
-/// reader never waits for the loop nor the loop for a reader.
+/// Serves the text last published by the process's loop. Neither the loop nor
+/// a client waits for the other.
 class MetricsPage final : public HttpHandler {
 public:
   void handle(const HttpRequest &, std::shared_ptr<HttpReply> Reply) override {
@@ -27,7 +27,7 @@
       std::make_shared<const std::string>()};
 };
 
-/// One counter or gauge in Prometheus' text format.
+/// Returns a counter or gauge in Prometheus' text format.
 template <typename Number>
 std::string metricLine(const char *Name, Number Value) {
   return std::string(Name) + " " + std::to_string(Value) + "\n";
--- a/http/request_age.cpp
+++ b/http/request_age.cpp
@@ -10,10 +10,10 @@
 
 namespace {
 
-/// Of the clock by which hosts note when data came, at the coarsest.
-constexpr std::chrono::milliseconds HostTick{10};
+/// The coarsest resolution of the clock that records the arrival of data.
+constexpr std::chrono::milliseconds HostClockResolution{10};
 
-/// Also if that cannot be known.
+/// Returns true also if it is unknown.
 bool mayHaveUnread(int Descriptor) {
   int Bytes = 0;
   return ::ioctl(Descriptor, FIONREAD, &Bytes) != 0 || Bytes > 0;
@@ -26,15 +26,16 @@
   socklen_t Size = sizeof Known;
   if (::getsockopt(Descriptor, IPPROTO_TCP, TCP_INFO, &Known, &Size) != 0)
     return std::nullopt;
-  // A host that keeps no account of what it receives leaves zeros.
-  bool KeepsAccount = Size == sizeof Known && Known.tcpi_rcv_mss > 0;
-  if (!KeepsAccount)
+  // A host that does not record received data leaves zeros.
+  bool IsAvailable = Size == sizeof Known && Known.tcpi_rcv_mss > 0;
+  if (!IsAvailable)
     return std::nullopt;
   std::chrono::milliseconds Age(Known.tcpi_last_data_recv);
-  RequestAge Result{std::max<Duration>(Age - HostTick, Duration{0}), {}};
-  // Looked at last: what has come meanwhile makes the age too low.
+  RequestAge Result{std::max<Duration>(Age - HostClockResolution, Duration{0}),
+                    {}};
+  // Checked last, as input that has arrived meanwhile makes the age too low.
   if (!mayHaveUnread(Descriptor))
-    Result.AtMost = Age + HostTick;
+    Result.AtMost = Age + HostClockResolution;
   return Result;
 }
 
--- a/http/request_age.h
+++ b/http/request_age.h
@@ -1,8 +1,8 @@
-//===- http/request_age.h - Since when a request is here --------*- C++ -*-===//
+//===- http/request_age.h - Time since a request arrived --------*- C++ -*-===//
 ///
 /// \file
-/// A process that stood still, or is busy, reads requests late. Only its host
-/// knows when they came.
+/// A process that was stalled or is busy reads requests late. Only the host's
+/// kernel knows when they arrived.
 ///
 //===----------------------------------------------------------------------===//
 #ifndef YARDWHEEL_HTTP_REQUEST_AGE_H
@@ -14,16 +14,16 @@
 
 namespace yardwheel {
 
-/// Since a request's last byte came to this host.
+/// The time since a request's last byte arrived at this host.
 struct RequestAge {
   Duration AtLeast{};
-  /// None if more has come behind the request: the host knows only when a
-  /// connection's last bytes came.
+  /// None if more input has arrived after the request: the host records only
+  /// the time of a connection's last input.
   std::optional<Duration> AtMost;
 };
 
-/// The age of what was last read from a connection; none where the host does
-/// not tell.
+/// Returns the age of a connection's last input; none if the host does not
+/// provide it.
 std::optional<RequestAge> findInputAge(int Descriptor);
 
 } // namespace yardwheel
--- a/http/request_reader.cpp
+++ b/http/request_reader.cpp
@@ -15,11 +15,11 @@
 namespace beast = boost::beast;
 namespace http = boost::beast::http;
 
-/// The end of a chunked body has at least so many bytes ("0", two line ends).
-/// The parser asserts that it gets no fewer once it has seen the "0".
-constexpr std::size_t LeastChunkedEnd = 5;
+/// The minimum size of the end of a chunked body ("0" and two line ends). The
+/// parser asserts that it gets at least this once it has seen the "0".
+constexpr std::size_t MinChunkedEndBytes = 5;
 
-/// The methods that are known here; any other is refused.
+/// The supported methods; all others are refused.
 constexpr std::array<std::string_view, 9> KnownMethods = {
     "GET",     "POST", "PUT",   "PATCH",  "DELETE",
     "OPTIONS", "HEAD", "TRACE", "CONNECT"};
@@ -29,7 +29,7 @@
          KnownMethods.end();
 }
 
-/// Whether a request line may begin like this.
+/// Returns whether \p Text can be the start of a request line.
 bool mayBeginRequest(std::string_view Text) {
   std::string_view Method = Text.substr(0, Text.find(' '));
   return std::any_of(
@@ -133,7 +133,7 @@
 
 bool RequestReader::lacksChunkedEnd() const {
   return this->Parser->is_header_done() && this->Parser->chunked() &&
-         this->Unread.size() < LeastChunkedEnd;
+         this->Unread.size() < MinChunkedEndBytes;
 }
 
 void RequestReader::begin() {
@@ -146,7 +146,7 @@
       static_cast<std::uint32_t>(this->Options.MaxHeadBytes));
   this->Parser->body_limit(this->Options.MaxBodyBytes);
   this->HeadChecked = false;
-  this->WishesContinue = false;
+  this->ExpectsContinue = false;
 }
 
 void RequestReader::skipEmptyLines() {
@@ -158,7 +158,7 @@
   this->Refusal = ReadRefusal{Status, Reason};
   this->Unread.clear();
   this->Parser.reset();
-  this->WishesContinue = false;
+  this->ExpectsContinue = false;
 }
 
 void RequestReader::refuse(const beast::error_code &Problem) {
@@ -179,7 +179,7 @@
   }
   auto Encoding = Head.find(http::field::transfer_encoding);
   bool IsEncoded = Encoding != Head.end();
-  // The parser counts a body that ends with its connection as none.
+  // The parser takes a body that ends with its connection for no body.
   if (IsEncoded && !beast::iequals(Encoding->value(), "chunked")) {
     this->refuse(HttpStatus::NotImplemented,
                  "no encoding of a body is known but chunked");
@@ -189,7 +189,7 @@
     this->refuse(HttpStatus::BadRequest, "HTTP/1.0 has no encoding of a body");
     return;
   }
-  this->WishesContinue =
+  this->ExpectsContinue =
       Head.version() >= 11 &&
       beast::iequals(Head[http::field::expect], "100-continue") &&
       !this->Parser->is_done();
@@ -205,14 +205,14 @@
     this->refuse(http::make_error_code(http::error::header_limit));
 }
 
-bool RequestReader::takeContinueWish() {
-  return std::exchange(this->WishesContinue, false);
+bool RequestReader::takeContinueExpectation() {
+  return std::exchange(this->ExpectsContinue, false);
 }
 
 bool RequestReader::keepsConnection(const BeastRequest &Parsed) const {
-  http::token_list Wishes(Parsed[http::field::connection]);
-  bool IsAsked = Wishes.exists("keep-alive");
-  return Parsed.keep_alive() && (IsAsked || !this->Unread.empty());
+  http::token_list Tokens(Parsed[http::field::connection]);
+  bool AsksToKeep = Tokens.exists("keep-alive");
+  return Parsed.keep_alive() && (AsksToKeep || !this->Unread.empty());
 }
 
 ReadRequest RequestReader::take() {
--- a/http/request_reader.h
+++ b/http/request_reader.h
@@ -1,10 +1,10 @@
-//===- http/request_reader.h - Requests from a connection's bytes -*- C++ -*-=//
+//===- http/request_reader.h - Parses a connection's requests ---*- C++ -*-===//
 ///
 /// \file
-/// Finds where each request on a connection ends and the next one begins. Once
-/// a request is refused nobody knows where the next one would begin, so nothing
-/// behind it is read: else the rest of a body is answered as a request that its
-/// caller never sent.
+/// Splits the input of a connection into requests. Once a request is refused,
+/// the start of the next one is unknown, so no further input is parsed.
+/// Otherwise the rest of a body would be answered as a request that the caller
+/// never sent.
 ///
 //===----------------------------------------------------------------------===//
 #ifndef YARDWHEEL_HTTP_REQUEST_READER_H
@@ -24,21 +24,21 @@
 namespace yardwheel {
 
 struct ReaderOptions {
-  /// Of the request line and all header fields, in bytes.
+  /// The limit of the request line and all header fields, in bytes.
   std::size_t MaxHeadBytes = 16384;
-  /// Of a body without its encoding, in bytes.
+  /// The limit of a body without its encoding, in bytes.
   std::size_t MaxBodyBytes = 1048576;
-  /// Names of the headers that handlers ask for.
+  /// The names of the headers that handlers use.
   std::vector<std::string> Headers;
 };
 
-/// Why a request cannot be read.
+/// Why a request is refused.
 struct ReadRefusal {
   HttpStatus Status = HttpStatus::BadRequest;
   std::string Reason;
 };
 
-/// A whole request, and how it wants to be answered.
+/// A complete request and the form of its answer.
 struct ReadRequest {
   HttpRequest Request;
   AnswerForm Form;
@@ -49,21 +49,21 @@
   /// \param Options Must outlive the reader.
   explicit RequestReader(const ReaderOptions &Options) : Options(Options) {}
 
-  /// Takes what has come next on the connection; nothing after a refusal.
+  /// Adds input of the connection. Ignored after a refusal.
   void feed(std::string_view Bytes);
-  /// The next request, if it has come whole.
+  /// Returns the next request if it is complete.
   std::optional<ReadRequest> next();
-  /// Why nothing more is read, once next() has come to a request that cannot
-  /// be. Its answer has to be the connection's last.
+  /// Returns the refusal once next() has found an invalid request. Its answer
+  /// must be the connection's last.
   const std::optional<ReadRefusal> &refusal() const { return this->Refusal; }
 
-  /// Whether a request has begun to come and is not whole.
+  /// Returns whether a request has begun and is incomplete.
   bool isInRequest() const { return this->Parser.has_value(); }
-  /// Whether anything has come behind the requests taken so far.
+  /// Returns whether there is input after the requests returned so far.
   bool hasMore() const { return this->isInRequest() || !this->Unread.empty(); }
-  /// Whether the caller holds back its request's body until it is told to send
-  /// it; true once for each such request.
-  bool takeContinueWish();
+  /// Returns whether the caller waits for "100 Continue" before it sends the
+  /// body; true once for each such request.
+  bool takeContinueExpectation();
 
 private:
   using BeastParser =
@@ -72,30 +72,30 @@
       boost::beast::http::request<boost::beast::http::string_body>;
 
   void begin();
-  /// Some callers end a body with a line end too many.
+  /// Skips the extra line end that some callers send after a body.
   void skipEmptyLines();
-  /// Connections stay only for callers that ask for it, or have sent more: on
-  /// one that is kept, a caller's next request finds this process also when it
-  /// has just died, and is lost; a new connection finds another process.
+  /// Connections are kept only for callers that ask for it or have sent more.
+  /// On a kept connection the next request goes to this process even if it has
+  /// just died, and is lost; a new connection would reach another process.
   bool keepsConnection(const BeastRequest &Parsed) const;
-  /// Whether the parser has to wait for more of a chunked body.
+  /// Returns whether the parser has to wait for more of a chunked body.
   bool lacksChunkedEnd() const;
   void refuse(HttpStatus Status, const std::string &Reason);
   void refuse(const boost::beast::error_code &Problem);
-  /// Refuses what the parser would let pass although the request's end is not
-  /// what its head says.
+  /// Refuses heads that the parser accepts although they do not determine the
+  /// end of the request correctly.
   void checkHead();
-  /// Refuses what can no longer become a request within its limits.
+  /// Refuses input that can no longer become a request within the limits.
   void checkUnfinished();
   ReadRequest take();
 
   const ReaderOptions &Options;
-  /// What the parser has not taken yet: a head or a chunk's line that is not
-  /// whole, or the requests behind this one.
+  /// Input that the parser has not consumed: an incomplete head or chunk line,
+  /// or later requests.
   std::string Unread;
   std::optional<BeastParser> Parser;
   bool HeadChecked = false;
-  bool WishesContinue = false;
+  bool ExpectsContinue = false;
   std::optional<ReadRefusal> Refusal;
 };
 
--- a/http/transfer_loop.cpp
+++ b/http/transfer_loop.cpp
@@ -25,10 +25,10 @@
   curl_multi_cleanup(this->Multi);
 }
 
-void TransferLoop::post(Work Next) {
+void TransferLoop::post(Work Item) {
   {
     std::lock_guard Lock(this->Mutex);
-    this->Queued.push_back(std::move(Next));
+    this->Queued.push_back(std::move(Item));
   }
   curl_multi_wakeup(this->Multi);
 }
@@ -78,8 +78,8 @@
       return false;
     std::swap(Taken, this->Queued);
   }
-  for (Work &Next : Taken)
-    Next();
+  for (Work &Item : Taken)
+    Item();
   return true;
 }
 
@@ -87,7 +87,7 @@
                                   std::size_t Count, void *Target) {
   auto *Request = static_cast<HttpPost *>(Target);
   std::size_t Bytes = Size * Count;
-  // A short count makes libcurl fail the transfer.
+  // Returning a smaller count makes libcurl fail the transfer.
   if (Request->Answer.size() + Bytes > Request->MaxAnswerBytes)
     return 0;
   Request->Answer.append(Data, Bytes);
--- a/http/transfer_loop.h
+++ b/http/transfer_loop.h
@@ -1,8 +1,8 @@
-//===- http/transfer_loop.h - Requests on one libcurl thread ----*- C++ -*-===//
+//===- http/transfer_loop.h - libcurl transfers on one thread ---*- C++ -*-===//
 ///
 /// \file
-/// A thread that drives libcurl's multi interface. Its owner decides how
-/// connections are used and what an answer means.
+/// A thread that drives libcurl's multi interface. Its owner manages the
+/// connections and interprets the answers.
 ///
 //===----------------------------------------------------------------------===//
 #ifndef YARDWHEEL_HTTP_TRANSFER_LOOP_H
@@ -20,13 +20,13 @@
 
 namespace yardwheel {
 
-/// A POST, and what has come of its answer. Stays in place while under way.
+/// A POST request and its answer. Must not be moved during the transfer.
 struct HttpPost {
   std::string Url;
   std::shared_ptr<curl_slist> Headers;
   std::string Body;
   std::chrono::milliseconds Timeout{};
-  /// A longer answer fails the transfer.
+  /// The transfer fails if the answer is longer.
   std::size_t MaxAnswerBytes = 0;
   std::string Answer;
 };
@@ -39,7 +39,7 @@
   using EndHandler = std::function<void(CURL *Handle, CURLcode Code)>;
 
   /// \param MaxConnections 0 for no limit.
-  /// \param OnEnd Called on the loop's thread; is to remove the handle.
+  /// \param OnEnd Called on the loop's thread; must remove the handle.
   /// \throws Error if libcurl cannot be set up.
   TransferLoop(long MaxConnections, EndHandler OnEnd);
   /// All handles must have been removed.
@@ -47,12 +47,12 @@
   TransferLoop(const TransferLoop &) = delete;
   TransferLoop &operator=(const TransferLoop &) = delete;
 
-  /// Runs \p Next on the loop's thread; for any thread.
-  void post(Work Next);
-  /// Ends the thread; work that it has not taken up is dropped.
+  /// Runs \p Item on the loop's thread. Thread-safe.
+  void post(Work Item);
+  /// Stops the thread. Queued work is dropped.
   void stop();
 
-  // For the loop's thread, or after stop().
+  // Only for the loop's thread, or after stop().
   void add(CURL *Handle, HttpPost &Request);
   void remove(CURL *Handle) { curl_multi_remove_handle(this->Multi, Handle); }
 
--- a/tests/http/closed_window_test.cpp
+++ b/tests/http/closed_window_test.cpp
@@ -1,8 +1,8 @@
-//===- A caller learns of the end although its window is closed -----------=//
+//===- End of a connection with a closed TCP window -----------------------=//
 //
-// A caller that sends more than is read finds its window closed. If its
-// connection then ends in order, and what it has sent is read only afterwards,
-// nothing opens the window any more and nothing tells the caller.
+// A caller that sends more than the server reads gets a closed TCP window. If
+// the connection is then closed normally, and the input is read only
+// afterwards, the window is never reopened and the caller is not notified.
 //
 //===----------------------------------------------------------------------===//
 
@@ -16,7 +16,7 @@
 #include <string>
 #include <thread>
 
-// Last: it redefines new.
+// Included last, as it redefines new.
 #include <CppUTest/TestHarness.h>
 
 using namespace yardwheel;
@@ -26,8 +26,8 @@
 
 constexpr milliseconds Quiet{300};
 
-/// Answers at once, but for "/hold": that holds the server's thread until it is
-/// released, and is not answered.
+/// Answers at once, except for "/hold", which blocks the server's thread until
+/// release() and is not answered.
 class HoldingHandler final : public HttpHandler {
 public:
   void handle(const HttpRequest &Request,
@@ -66,21 +66,21 @@
 
 struct Row {
   const char *Name;
-  /// Sent first; where it is answered, the answer is read.
+  /// Sent first; if IsAnswered, the answer is read.
   std::string First;
   bool IsAnswered;
-  /// Sent next, and read by the server.
+  /// The number of bytes sent next, which the server still reads.
   std::size_t Before;
-  /// Whether the caller itself sends the request that holds the thread.
+  /// Whether the caller itself sends the request that blocks the thread.
   bool HoldsItself;
-  /// Until the server reads on.
+  /// How long the thread is blocked.
   milliseconds Hold;
 };
 
 constexpr milliseconds Timeout{1000};
 constexpr milliseconds PastTimeout{2500};
 constexpr milliseconds PastLinger{6500};
-/// Within one read of what a refused caller may send.
+/// Less than one read below the limit of a refused caller's input.
 constexpr std::size_t AlmostDiscarded = (std::size_t{16} << 20) - 2000;
 
 const std::string Kept = "GET /a HTTP/1.1\r\nConnection: keep-alive\r\n\r\n";
@@ -107,54 +107,54 @@
   }
   void play(const Row &Case) {
     this->start();
-    Caller Line(this->Port);
-    Line.connect();
-    Line.send(Case.First);
+    Caller Client(this->Port);
+    Client.connect();
+    Client.send(Case.First);
     if (Case.IsAnswered)
-      STRCMP_CONTAINS("\r\n\r\n", Line.readAnswer().c_str());
-    Line.send(std::string(Case.Before, 'x'));
+      STRCMP_CONTAINS("\r\n\r\n", Client.readAnswer().c_str());
+    Client.send(std::string(Case.Before, 'x'));
     std::this_thread::sleep_for(Quiet);
     Caller Other(this->Port);
     Other.connect();
-    (Case.HoldsItself ? Line : Other).send(Held);
+    (Case.HoldsItself ? Client : Other).send(Held);
     CHECK_TEXT(this->Handler->waitForHold(), Case.Name);
-    Line.fill();
+    Client.fill();
     std::this_thread::sleep_for(Case.Hold);
     this->Handler->release();
-    CHECK_TEXT(Line.isReset(), Case.Name);
+    CHECK_TEXT(Client.isReset(), Case.Name);
     this->Server.reset();
   }
   void teardown() override {
-    // A check that fails leaves the thread held.
+    // A failed check leaves the thread blocked.
     if (this->Handler)
       this->Handler->release();
     this->Server.reset();
   }
 };
 
-TEST(ClosedWindowTest, ACallerLearnsThatItsReplyWasDropped) {
+TEST(ClosedWindowTest, ResetsAfterADroppedReply) {
   this->play({.Name = "dropped", .HoldsItself = true, .Hold = Quiet});
 }
 
-TEST(ClosedWindowTest, ACallerLearnsThatItsFirstRequestCameTooLate) {
+TEST(ClosedWindowTest, ResetsAfterATimeoutOfTheFirstRequest) {
   this->play({.Name = "first request", .Hold = PastTimeout});
 }
 
-TEST(ClosedWindowTest, ACallerLearnsThatItsNextRequestCameTooLate) {
+TEST(ClosedWindowTest, ResetsAfterATimeoutOfTheNextRequest) {
   this->play({.Name = "next request",
               .First = Kept,
               .IsAnswered = true,
               .Hold = PastTimeout});
 }
 
-TEST(ClosedWindowTest, ACallerLearnsThatItStayedTooLongAfterItsLastAnswer) {
+TEST(ClosedWindowTest, ResetsACallerThatStaysAfterItsLastAnswer) {
   this->play({.Name = "linger",
               .First = Last,
               .IsAnswered = true,
               .Hold = PastLinger});
 }
 
-TEST(ClosedWindowTest, ACallerLearnsThatItIsCutOff) {
+TEST(ClosedWindowTest, ResetsACallerThatExceedsTheDiscardLimit) {
   this->play({.Name = "cut off",
               .First = Refused,
               .IsAnswered = true,
@@ -162,20 +162,20 @@
               .Hold = Quiet});
 }
 
-TEST(ClosedWindowTest, ARequestThatIsReadAfterTheEndIsNotHandled) {
+TEST(ClosedWindowTest, ARequestReadAfterTheEndIsNotHandled) {
   this->start();
-  Caller Line(this->Port);
+  Caller Client(this->Port);
   Caller Other(this->Port);
-  Line.connect();
-  Line.send(Kept);
-  STRCMP_CONTAINS("200 OK", Line.readAnswer().c_str());
+  Client.connect();
+  Client.send(Kept);
+  STRCMP_CONTAINS("200 OK", Client.readAnswer().c_str());
   Other.connect();
   Other.send(Held);
   CHECK(this->Handler->waitForHold());
-  Line.ask("/late");
+  Client.ask("/late");
   std::this_thread::sleep_for(PastTimeout);
   this->Handler->release();
   std::this_thread::sleep_for(Quiet);
   CHECK_FALSE(this->Handler->hasHandledLate());
-  CHECK(Line.isReset());
+  CHECK(Client.isReset());
 }
--- a/tests/http/http_cut_off_test.cpp
+++ b/tests/http/http_cut_off_test.cpp
@@ -1,6 +1,6 @@
-//===- A caller that is cut off learns of it ------------------------------=//
+//===- Reset of a refused caller ------------------------------------------=//
 //
-// A refused caller that sends on without end is cut off, and must not hang.
+// A refused caller that keeps sending without limit is reset and must not hang.
 //
 //===----------------------------------------------------------------------===//
 
@@ -13,7 +13,7 @@
 #include <thread>
 #include <vector>
 
-// Last: it redefines new.
+// Included last, as it redefines new.
 #include <CppUTest/TestHarness.h>
 
 using namespace yardwheel;
@@ -29,11 +29,11 @@
 
 TEST_GROUP(HttpCutOffTest){};
 
-TEST(HttpCutOffTest, ACallerThatIsCutOffLearnsOfItWhileTheMachineIsBusy) {
-  // For which a refused caller is read on, and a little more.
+TEST(HttpCutOffTest, ARefusedCallerIsResetInTimeOnABusyHost) {
+  // A little longer than a refused caller's input is read.
   constexpr std::chrono::seconds InTime{7};
   constexpr std::size_t Part = 1000000;
-  constexpr int MostParts = 100;
+  constexpr int MaxParts = 100;
   constexpr int Busy = 8;
   std::atomic<bool> Done{false};
   std::vector<std::thread> Others;
@@ -48,11 +48,11 @@
                      .Threads = 1,
                      .MaxBodyBytes = Part},
                     std::make_shared<SilentHandler>());
-  Caller Line(Port);
-  Line.connect();
-  Line.send("POST /a HTTP/1.1\r\nContent-Length: 3000000\r\n\r\n");
+  Caller Client(Port);
+  Client.connect();
+  Client.send("POST /a HTTP/1.1\r\nContent-Length: 3000000\r\n\r\n");
   auto Began = std::chrono::steady_clock::now();
-  for (int I = 0; I < MostParts && Line.send(std::string(Part, 'x'));)
+  for (int I = 0; I < MaxParts && Client.send(std::string(Part, 'x'));)
     ++I;
   auto Took = std::chrono::steady_clock::now() - Began;
   Done.store(true);
--- a/tests/http/http_framing_test.cpp
+++ b/tests/http/http_framing_test.cpp
@@ -1,14 +1,13 @@
-//===- Where one request ends and the next begins -------------------------===//
+//===- Request boundaries on a connection ---------------------------------===//
 //
-// Of two requests that came in one segment the second was dropped, and its
-// caller waited for nothing. Where the second's body followed in a later
-// segment that body was read as a request: a handler that wrote down what it
-// was asked had "handled /inside" for the body of a POST. The HTTP library
-// reads into a buffer that it empties after each request, whatever it still
-// holds. By the same reading a length that is no number counted as none, of two
-// lengths the first one, and the limit for bodies counted the head. Its
-// timeouts know only a connection's first request. The server now reads by a
-// parser that says how much it has taken, and keeps the rest.
+// The HTTP library clears its buffer after each request, with all that it still
+// contains. Of two requests in one segment the second was dropped, and its
+// caller waited in vain. If the body of the second arrived in a later segment,
+// that body was handled as a request. The library also ignored a length that is
+// not a number, used the first of two lengths, counted the head towards the
+// body limit, and had timeouts only for a connection's first request. The
+// server now uses a parser that returns how much it has consumed, and keeps the
+// rest.
 //
 //===----------------------------------------------------------------------===//
 
@@ -21,7 +20,7 @@
 #include <thread>
 #include <vector>
 
-// Last: it redefines new.
+// Included last, as it redefines new.
 #include <CppUTest/TestHarness.h>
 
 using namespace yardwheel;
@@ -32,7 +31,7 @@
 constexpr std::size_t BodyLimit = 1000;
 constexpr milliseconds Quiet{150};
 
-/// Answers each request with its path, and remembers what it was asked.
+/// Answers each request with its path, and records the requests.
 class EchoHandler final : public HttpHandler {
 public:
   void handle(const HttpRequest &Request,
@@ -45,7 +44,7 @@
     Reply->send({.Body = Request.Resource});
   }
 
-  /// The paths so far, each with its body's size, behind one another.
+  /// Returns the paths of all requests, each with the size of its body.
   std::string asked() {
     std::lock_guard Lock(this->Mutex);
     std::string Text;
@@ -59,7 +58,7 @@
   std::vector<std::string> Asked;
 };
 
-/// The statuses of the answers in \p Text, behind one another.
+/// Returns the statuses of the answers in \p Text, in order.
 std::string statusesIn(const std::string &Text) {
   constexpr std::size_t StatusAt = 9;
   constexpr std::size_t StatusSize = 3;
@@ -77,12 +76,12 @@
   return "GET " + Path + " HTTP/1.1\r\nConnection: keep-alive\r\n\r\n";
 }
 
-/// One that says nothing of its connection.
+/// A request without a Connection header.
 std::string plainGet(const std::string &Path) {
   return "GET " + Path + " HTTP/1.1\r\nHost: t\r\n\r\n";
 }
 
-/// The head of a POST with one more field.
+/// The head of a POST with an additional header field.
 std::string post(const std::string &Field) {
   return "POST /a HTTP/1.1\r\nConnection: keep-alive\r\n" + Field + "\r\n\r\n";
 }
@@ -91,13 +90,13 @@
   return post(Field) + std::string(BodySize, 'x');
 }
 
-/// What one connection carries.
+/// The requests and answers of a connection.
 struct Row {
   const char *Name;
-  /// What the caller sends, each after a pause.
+  /// Sent by the caller, with a pause after each.
   std::vector<std::string> Segments;
   const char *Statuses;
-  /// What the handler is asked.
+  /// The requests that the handler gets.
   const char *Asked;
 };
 
@@ -124,30 +123,30 @@
     return New;
   }
 
-  void sendAll(Caller & Line, const std::vector<std::string> &Segments) {
+  void sendAll(Caller & Client, const std::vector<std::string> &Segments) {
     for (const std::string &Segment : Segments) {
-      Line.send(Segment);
+      Client.send(Segment);
       std::this_thread::sleep_for(milliseconds(20));
     }
   }
 
-  /// Plays rows whose connections stay, or those whose connections end.
+  /// Runs rows. \param Ends Whether the server closes the connections.
   void play(const std::vector<Row> &Rows, bool Ends) {
     for (const Row &Row : Rows) {
       this->serve();
-      Caller Line = this->connected();
-      this->sendAll(Line, Row.Segments);
-      std::string Text = Line.read(std::string::npos, Quiet);
+      Caller Client = this->connected();
+      this->sendAll(Client, Row.Segments);
+      std::string Text = Client.read(std::string::npos, Quiet);
       STRCMP_EQUAL_TEXT(Row.Statuses, statusesIn(Text).c_str(), Row.Name);
       STRCMP_EQUAL_TEXT(Row.Asked, this->Handler->asked().c_str(), Row.Name);
-      CHECK_EQUAL_TEXT(Ends, Line.seesEnd(Quiet), Row.Name);
+      CHECK_EQUAL_TEXT(Ends, Client.seesEnd(Quiet), Row.Name);
     }
   }
 
   void teardown() override { this->Server.reset(); }
 };
 
-TEST(HttpFramingTest, NothingBehindARefusedRequestIsReadAsARequest) {
+TEST(HttpFramingTest, NothingAfterARefusedRequestIsParsed) {
   const std::string Inside = get("/inside");
   const std::string Chunked = "Transfer-Encoding: chunked";
   this->play(
@@ -219,7 +218,7 @@
       true);
 }
 
-TEST(HttpFramingTest, EachRequestIsAnsweredHoweverItsBytesCome) {
+TEST(HttpFramingTest, EachRequestIsAnsweredForAnySegmentation) {
   const std::string Two = get("/a") + get("/b");
   const std::string Inside = get("/inside");
   const std::string Body = post("Content-Length: 5") + "12345";
@@ -262,7 +261,7 @@
       false);
 }
 
-TEST(HttpFramingTest, WhatIsWithinTheLimitsIsServed) {
+TEST(HttpFramingTest, RequestsWithinTheLimitsAreServed) {
   this->play({{"a body just below the limit",
                {post("Content-Length: 990", 990), get("/b")},
                "200 200 ",
@@ -288,7 +287,7 @@
              false);
 }
 
-TEST(HttpFramingTest, AConnectionEndsWithTheAnswerThatSaysSo) {
+TEST(HttpFramingTest, AConnectionEndsAfterAnAnswerWithClose) {
   const std::string Close = "GET /a HTTP/1.1\r\nHost: t\r\nConnection: close"
                             "\r\n\r\n";
   this->play(
@@ -313,19 +312,19 @@
              false);
 }
 
-// An answer to HEAD has no body: one that had was read as the beginning of the
-// next answer.
+// An answer to HEAD must have no body: a body was read as the start of the next
+// answer.
 TEST(HttpFramingTest, AnAnswerToHeadHasNoBody) {
   this->serve();
-  Caller Line = this->connected();
-  Line.send("HEAD /head HTTP/1.1\r\nHost: t\r\n\r\n" + get("/b"));
-  std::string Text = Line.read(std::string::npos, Quiet);
+  Caller Client = this->connected();
+  Client.send("HEAD /head HTTP/1.1\r\nHost: t\r\n\r\n" + get("/b"));
+  std::string Text = Client.read(std::string::npos, Quiet);
   STRCMP_EQUAL("200 200 ", statusesIn(Text).c_str());
   CHECK(Text.find("/head") == std::string::npos);
   STRCMP_CONTAINS("Content-Length: 5\r\n", Text.c_str());
 }
 
-TEST(HttpFramingTest, ACallerThatAsksFirstIsToldToSendItsBody) {
+TEST(HttpFramingTest, ACallerThatExpectsContinueGetsIt) {
   const std::string Expect = "Expect: 100-continue\r\n";
   this->play({{"a body within the limit",
                {post(Expect + "Content-Length: 2"), "ab", get("/b")},
@@ -343,7 +342,7 @@
              true);
 }
 
-TEST(HttpFramingTest, ACallerThatIsSlowInAnyRequestIsTold) {
+TEST(HttpFramingTest, ASlowCallerGetsATimeoutInAnyRequest) {
   constexpr milliseconds Limit{300};
   constexpr milliseconds Longer{1500};
   const std::string Half = post("Content-Length: 5", 2);
@@ -361,24 +360,24 @@
   };
   for (const SlowRow &Row : Rows) {
     this->serve({.HeaderTimeout = Limit});
-    Caller Line = this->connected();
-    this->sendAll(Line, Row.Segments);
-    std::string Text = Line.read(std::string::npos, Longer);
+    Caller Client = this->connected();
+    this->sendAll(Client, Row.Segments);
+    std::string Text = Client.read(std::string::npos, Longer);
     STRCMP_EQUAL_TEXT(Row.Statuses, statusesIn(Text).c_str(), Row.Name);
-    CHECK_TEXT(Line.seesEnd(Quiet), Row.Name);
+    CHECK_TEXT(Client.seesEnd(Quiet), Row.Name);
   }
 }
 
-// A connection that is closed while input lies unread is reset, and the reset
-// takes an answer away that the caller has not read yet.
-TEST(HttpFramingTest, ARefusalReachesACallerThatSendsOn) {
+// Closing a connection with unread input resets it, and the caller then loses
+// an answer that it has not yet read.
+TEST(HttpFramingTest, ARefusalReachesACallerThatKeepsSending) {
   constexpr std::size_t Rest = 2000000;
   this->serve();
-  Caller Line = this->connected();
-  Line.send(post("Content-Length: 2000000", Rest));
+  Caller Client = this->connected();
+  Client.send(post("Content-Length: 2000000", Rest));
   std::this_thread::sleep_for(Quiet);
-  Line.send(std::string(Rest, 'x'));
+  Client.send(std::string(Rest, 'x'));
   std::this_thread::sleep_for(Quiet);
-  std::string Text = Line.read(std::string::npos, Quiet);
+  std::string Text = Client.read(std::string::npos, Quiet);
   STRCMP_EQUAL("413 ", statusesIn(Text).c_str());
 }
--- a/tests/http/http_limits_test.cpp
+++ b/tests/http/http_limits_test.cpp
@@ -1,8 +1,8 @@
-//===- What one caller may hold of a server -------------------------------=//
+//===- Limits on the resources of a caller --------------------------------=//
 //
-// A caller that was refused is read on for a while, so that no reset takes its
-// answer away, and requests may wait on a connection for answers before them.
-// Neither may go on without end, or leave anything behind.
+// The input of a refused caller is read for a while, so that it does not lose
+// its answer to a reset, and requests on a connection may wait for earlier
+// answers. Both must be limited and must not leak resources.
 //
 //===----------------------------------------------------------------------===//
 
@@ -17,7 +17,7 @@
 #include <thread>
 #include <vector>
 
-// Last: it redefines new.
+// Included last, as it redefines new.
 #include <CppUTest/TestHarness.h>
 
 using namespace yardwheel;
@@ -28,8 +28,8 @@
 constexpr std::size_t BodyLimit = 1000;
 constexpr milliseconds Quiet{150};
 
-/// Keeps all replies until they are answered together.
-class PatientHandler final : public HttpHandler {
+/// Keeps all replies until answerAll().
+class DeferringHandler final : public HttpHandler {
 public:
   void handle(const HttpRequest &Request,
               std::shared_ptr<HttpReply> Reply) override {
@@ -46,7 +46,7 @@
       Reply->send({.Body = this->Body});
     this->Replies.clear();
   }
-  /// Of all answers; set before there are any.
+  /// The body of all answers; set before the first one.
   std::string Body = "{}";
 
 private:
@@ -73,7 +73,8 @@
 
 TEST_GROUP(HttpLimitsTest) {
   std::uint16_t Port = freeHttpPort();
-  std::shared_ptr<PatientHandler> Handler = std::make_shared<PatientHandler>();
+  std::shared_ptr<DeferringHandler> Handler =
+      std::make_shared<DeferringHandler>();
   std::optional<HttpServer> Server;
 
   void setup() override {
@@ -99,91 +100,91 @@
   void teardown() override { this->Server.reset(); }
 };
 
-TEST(HttpLimitsTest, RequestsBeyondThoseThatMayWaitAreRefusedBehindThem) {
-  constexpr std::size_t MayWait = 64;
-  Caller Line = this->connected();
-  for (std::size_t I = 0; I < MayWait + 6; ++I)
-    Line.ask("/a");
-  CHECK(this->waitFor([&] { return this->Handler->waiting() == MayWait; }));
-  STRCMP_EQUAL("", Line.read(1, Quiet).c_str());
-  LONGS_EQUAL(MayWait, this->Handler->waiting());
+TEST(HttpLimitsTest, RequestsBeyondTheLimitAreRefusedInOrder) {
+  constexpr std::size_t MaxPending = 64;
+  Caller Client = this->connected();
+  for (std::size_t I = 0; I < MaxPending + 6; ++I)
+    Client.ask("/a");
+  CHECK(this->waitFor([&] { return this->Handler->waiting() == MaxPending; }));
+  STRCMP_EQUAL("", Client.read(1, Quiet).c_str());
+  LONGS_EQUAL(MaxPending, this->Handler->waiting());
   this->Handler->answerAll();
-  std::string Text = Line.read(std::string::npos, Quiet);
-  LONGS_EQUAL(MayWait, countOf("HTTP/1.1 200 OK", Text));
+  std::string Text = Client.read(std::string::npos, Quiet);
+  LONGS_EQUAL(MaxPending, countOf("HTTP/1.1 200 OK", Text));
   LONGS_EQUAL(1, countOf("HTTP/1.1 429 ", Text));
   CHECK(Text.rfind("429 ") > Text.rfind("200 OK"));
-  CHECK(Line.seesEnd(Quiet));
+  CHECK(Client.seesEnd(Quiet));
 }
 
-TEST(HttpLimitsTest, ARefusedCallerThatSendsWithoutEndIsCutOff) {
+TEST(HttpLimitsTest, ARefusedCallerThatKeepsSendingIsReset) {
   constexpr std::size_t Part = 1000000;
-  constexpr std::size_t MostParts = 100;
-  Caller Line = this->connected();
-  Line.send(Refused);
-  STRCMP_CONTAINS("413", Line.read(1).c_str());
+  constexpr std::size_t MaxParts = 100;
+  Caller Client = this->connected();
+  Client.send(Refused);
+  STRCMP_CONTAINS("413", Client.read(1).c_str());
   std::size_t Parts = 0;
-  while (Parts < MostParts && Line.send(std::string(Part, 'x')))
+  while (Parts < MaxParts && Client.send(std::string(Part, 'x')))
     ++Parts;
-  // More than an honest caller may have on its way, and far from all.
+  // More than a regular caller may have in transit, and far less than all.
   CHECK(Parts >= 8);
-  CHECK(Parts < MostParts);
+  CHECK(Parts < MaxParts);
 }
 
-TEST(HttpLimitsTest, ARefusedCallerThatStaysIsLetGo) {
+TEST(HttpLimitsTest, ARefusedCallerThatStaysIsDisconnected) {
   constexpr milliseconds Linger{5000};
   constexpr milliseconds Slack{1500};
-  Caller Line = this->connected();
-  Line.send(Refused);
-  STRCMP_CONTAINS("413", Line.read(1).c_str());
+  Caller Client = this->connected();
+  Client.send(Refused);
+  STRCMP_CONTAINS("413", Client.read(1).c_str());
   std::this_thread::sleep_for(Linger / 2);
-  CHECK(Line.send("x"));
+  CHECK(Client.send("x"));
   std::this_thread::sleep_for(Linger / 2 + Slack);
-  // The first byte on a connection that is gone is answered by a reset.
-  Line.send("x");
+  // The first byte on a closed connection is answered by a reset.
+  Client.send("x");
   std::this_thread::sleep_for(Quiet);
-  CHECK_FALSE(Line.send("x"));
+  CHECK_FALSE(Client.send("x"));
 }
 
 TEST(HttpLimitsTest, ACallerThatReadsNoAnswersIsReset) {
   constexpr std::size_t Part = 1000000;
-  // Far more than the buffers of both ends and what may wait between them.
-  constexpr std::size_t MostParts = 100;
+  // Far more than the buffers of both ends and the limit of unsent data.
+  constexpr std::size_t MaxParts = 100;
   this->Handler->Body = std::string(Part, 'x');
-  Caller Line = this->connected();
+  Caller Client = this->connected();
   std::size_t Parts = 0;
-  auto IsReset = [&Line] { return Line.isReset(milliseconds(0)); };
-  while (Parts < MostParts && !IsReset()) {
-    Line.ask("/a");
+  auto IsReset = [&Client] { return Client.isReset(milliseconds(0)); };
+  while (Parts < MaxParts && !IsReset()) {
+    Client.ask("/a");
     CHECK(this->waitFor(
         [&] { return IsReset() || this->Handler->waiting() == 1; }));
     this->Handler->answerAll();
     ++Parts;
   }
-  CHECK(Line.isReset());
-  CHECK(Parts < MostParts);
+  CHECK(Client.isReset());
+  CHECK(Parts < MaxParts);
   CHECK(this->Server->answers().withoutCaller() > 0);
 }
 
-TEST(HttpLimitsTest, ACallerThatReadsAtLeisureGetsAllAnswers) {
+TEST(HttpLimitsTest, ASlowReaderGetsAllAnswers) {
   constexpr std::size_t Part = 1000000;
   constexpr std::size_t Parts = 20;
   this->Handler->Body = std::string(Part, 'x');
-  Caller Line = this->connected();
+  Caller Client = this->connected();
   std::string Text;
   for (std::size_t I = 0; I < Parts; ++I) {
-    Line.ask("/a");
+    Client.ask("/a");
     CHECK(this->waitFor([&] { return this->Handler->waiting() == 1; }));
     this->Handler->answerAll();
-    // One answer behind, so that some of them always wait.
+    // Reads one answer late, so that there is always unread data.
     if (I > 0)
-      Text += Line.read(Part);
+      Text += Client.read(Part);
   }
-  Text += Line.read(std::string::npos, Quiet);
+  Text += Client.read(std::string::npos, Quiet);
   LONGS_EQUAL(Parts, countOf("HTTP/1.1 200 OK", Text));
   CHECK(Text.size() > Parts * Part);
 }
 
-TEST(HttpLimitsTest, CallersThatHaveGoneLeaveNoDescriptor) {
+TEST(HttpLimitsTest, DisconnectedCallersLeaveNoDescriptor) {
   constexpr int Callers = 50;
   {
     Caller First = this->connected();
@@ -202,8 +203,8 @@
         Lines.back().send(Sent);
       }
       std::this_thread::sleep_for(Quiet);
-      for (Caller &Line : Lines)
-        Resets ? Line.reset() : Line.leave();
+      for (Caller &Client : Lines)
+        Resets ? Client.reset() : Client.leave();
     }
   }
   this->Handler->answerAll();
--- a/tests/http/http_refusal_test.cpp
+++ b/tests/http/http_refusal_test.cpp
@@ -1,19 +1,15 @@
-//===- What follows a refused request --------------------------------------=//
+//===- Input after a refused request ---------------------------------------=//
 //
-// A caller that sent a body over the limit read 413, and then 200 for a request
-// that stood inside that body; whoever may choose a body's content could so
-// have a job taken that nobody had submitted. The HTTP library answers what it
-// cannot read by itself, forgets what it has read, and takes the bytes that
-// come next for a new request, though the rest of the refused one is still on
-// its way. With a handler that wrote down what it was asked, 11 of 11 refusals
-// of the library (413, 400, 500, 501) were followed by
-//
-//   handled /inside body=0
-//
-// and 4 MB behind a length over the limit were answered by 980 times 413, one
-// for each segment. Nobody knows where the next request begins once one has
-// been refused, so now the server itself finds the ends of requests, and reads
-// none behind a refusal.
+// Guards against request smuggling. A caller whose body exceeded the limit got
+// 413, and then 200 for a request contained in that body, so that whoever
+// controls a body's content could submit a job. The HTTP library answers a
+// malformed request by itself, discards what it has read, and takes the next
+// bytes for a new request, although the rest of the refused one is still
+// arriving. 11 of 11 refusals of the library (413, 400, 500, 501) were followed
+// by the handling of the request inside the body, and 4 MB after a length over
+// the limit were answered by 413 980 times, once per segment. After a refusal
+// the start of the next request is unknown, so the server now determines the
+// ends of requests itself and parses nothing after a refusal.
 //
 //===----------------------------------------------------------------------===//
 
@@ -33,7 +29,7 @@
 
 namespace {
 
-constexpr milliseconds Patience{2000};
+constexpr milliseconds AnswerTimeout{2000};
 
 sockaddr_in loopback(std::uint16_t Port) {
   sockaddr_in Address{};
@@ -55,14 +51,14 @@
 }
 
 int connectTo(std::uint16_t Port) {
-  int Line = ::socket(AF_INET, SOCK_STREAM, 0);
+  int Client = ::socket(AF_INET, SOCK_STREAM, 0);
   sockaddr_in Address = loopback(Port);
-  CHECK_EQUAL(0, ::connect(Line, reinterpret_cast<sockaddr *>(&Address),
+  CHECK_EQUAL(0, ::connect(Client, reinterpret_cast<sockaddr *>(&Address),
                            sizeof Address));
-  return Line;
+  return Client;
 }
 
-/// Answers all that it is asked, and counts it.
+/// Answers and counts all requests.
 class CountingHandler final : public HttpHandler {
 public:
   void handle(const HttpRequest &, std::shared_ptr<HttpReply> Reply) override {
@@ -72,13 +68,13 @@
   std::atomic<int> Asked{0};
 };
 
-/// What comes next on the connection, or nothing.
-std::string readSome(int Line) {
-  pollfd Watched{Line, POLLIN, 0};
+/// Returns the next data on the connection, or an empty string.
+std::string readSome(int Client) {
+  pollfd Watched{Client, POLLIN, 0};
   char Buffer[4096];
-  if (::poll(&Watched, 1, static_cast<int>(Patience.count())) <= 0)
+  if (::poll(&Watched, 1, static_cast<int>(AnswerTimeout.count())) <= 0)
     return "";
-  ssize_t Count = ::recv(Line, Buffer, sizeof Buffer, 0);
+  ssize_t Count = ::recv(Client, Buffer, sizeof Buffer, 0);
   return Count > 0 ? std::string(Buffer, static_cast<std::size_t>(Count)) : "";
 }
 
@@ -86,9 +82,9 @@
 
 TEST_GROUP(HttpRefusalTest){};
 
-// The library answers a request that is too large by itself. What is left of
-// its body was then read as the next request and answered, so that the answers
-// on that connection no longer belonged to the caller's requests.
+// The library answers a request that is too large by itself. The rest of its
+// body was then parsed as the next request and answered, so that the answers on
+// that connection no longer matched the caller's requests.
 TEST(HttpRefusalTest, TheRestOfARefusedRequestIsNotAnswered) {
   constexpr std::size_t Limit = 1000;
   std::uint16_t Port = freePort();
@@ -97,21 +93,21 @@
                      .Threads = 1,
                      .MaxBodyBytes = Limit},
                     Handler);
-  int Line = connectTo(Port);
+  int Client = connectTo(Port);
   std::string Head = "POST /large HTTP/1.1\r\nHost: t\r\n"
                      "Content-Length: 3000\r\n\r\n";
   std::string Part = Head + std::string(2 * Limit, 'x');
   std::string Rest = "GET /inside HTTP/1.1\r\nHost: t\r\n\r\n";
-  ::send(Line, Part.data(), Part.size(), MSG_NOSIGNAL);
-  STRCMP_CONTAINS("413", readSome(Line).c_str());
-  ::send(Line, Rest.data(), Rest.size(), MSG_NOSIGNAL);
-  STRCMP_EQUAL("", readSome(Line).c_str());
+  ::send(Client, Part.data(), Part.size(), MSG_NOSIGNAL);
+  STRCMP_CONTAINS("413", readSome(Client).c_str());
+  ::send(Client, Rest.data(), Rest.size(), MSG_NOSIGNAL);
+  STRCMP_EQUAL("", readSome(Client).c_str());
   LONGS_EQUAL(0, Handler->Asked.load());
-  ::close(Line);
+  ::close(Client);
 }
 
-// Whatever the library has refused, and however its rest comes, the caller gets
-// that one answer and then the end of the connection.
+// For every kind of refusal, and however the rest of the request arrives, the
+// caller gets a single answer and then the end of the connection.
 TEST(HttpRefusalTest, ARefusalIsTheLastAnswerOnItsConnection) {
   constexpr std::size_t Limit = 1000;
   const std::string Next = "GET /inside HTTP/1.1\r\nHost: t\r\n\r\n";
@@ -135,13 +131,13 @@
                        .Threads = 1,
                        .MaxBodyBytes = Limit},
                       Handler);
-    int Line = connectTo(Port);
-    ::send(Line, Row.Refused.data(), Row.Refused.size(), MSG_NOSIGNAL);
-    std::string Answer = readSome(Line);
+    int Client = connectTo(Port);
+    ::send(Client, Row.Refused.data(), Row.Refused.size(), MSG_NOSIGNAL);
+    std::string Answer = readSome(Client);
     STRCMP_CONTAINS_TEXT(Row.Status, Answer.c_str(), Row.Name);
-    ::send(Line, Next.data(), Next.size(), MSG_NOSIGNAL);
-    STRCMP_EQUAL_TEXT("", readSome(Line).c_str(), Row.Name);
+    ::send(Client, Next.data(), Next.size(), MSG_NOSIGNAL);
+    STRCMP_EQUAL_TEXT("", readSome(Client).c_str(), Row.Name);
     LONGS_EQUAL_TEXT(0, Handler->Asked.load(), Row.Name);
-    ::close(Line);
+    ::close(Client);
   }
 }
--- a/tests/http/http_server_test.cpp
+++ b/tests/http/http_server_test.cpp
@@ -1,12 +1,11 @@
-//===- The server's answers and the connections that they go to -----------===//
+//===- Answers and their connections --------------------------------------===//
 //
-// Callers at entries under load read answers that were meant for others: a
-// caller read "503, not run" while the entry's log had its job as completed
-// after 307 ms, and in that second 38 callers had left before their answers.
-// An answer was queued under the number of its connection's descriptor. When
-// that connection was closed and the number given to the next caller before
-// the queue was served, the next caller read it. Of 21,079 answers on loopback,
-// with half of the callers leaving early, five reached somebody else.
+// Answers were queued by the number of their connection's descriptor. If that
+// connection was closed and the number reused before the queue was written, the
+// answer reached another caller. Under load, a caller read "503, not run" while
+// the entry's log had its job as completed after 307 ms; in that second 38
+// callers had left before their answers. Of 21,079 answers on loopback, with
+// half of the callers leaving early, five reached another caller.
 //
 //===----------------------------------------------------------------------===//
 
@@ -36,10 +35,10 @@
 
 namespace {
 
-constexpr milliseconds Patience = CallerPatience;
+constexpr milliseconds AnswerTimeout = CallerPatience;
 
-/// Keeps replies for the test to send, and holds the server's thread on
-/// requests below /hold until it is let go.
+/// Keeps replies for the test to send, and blocks the server's thread on
+/// requests whose path starts with /hold until release().
 class KeepingHandler final : public HttpHandler {
 public:
   void handle(const HttpRequest &Request,
@@ -50,7 +49,7 @@
     this->Replies[Request.Resource] = std::move(Reply);
     this->Changed.notify_all();
     if (Request.Resource.starts_with("/hold"))
-      this->Changed.wait_for(Lock, Patience, [&] {
+      this->Changed.wait_for(Lock, AnswerTimeout, [&] {
         return this->Released.contains(Request.Resource);
       });
   }
@@ -67,10 +66,10 @@
     this->Changed.notify_all();
   }
 
-  /// The reply to the request for a path, once that has been read.
+  /// Waits for the request for a path. \returns its reply.
   std::shared_ptr<HttpReply> reply(const std::string &Path) {
     std::unique_lock Lock(this->Mutex);
-    this->Changed.wait_for(Lock, Patience,
+    this->Changed.wait_for(Lock, AnswerTimeout,
                            [&] { return this->Replies.contains(Path); });
     return this->Replies[Path];
   }
@@ -87,10 +86,12 @@
     this->Replies.erase(Path);
   }
 
-  /// Whether the server has seen a caller leave in time.
+  /// Waits until the server detects that a caller has left. \returns false on
+  /// timeout.
   bool waitForLeaving() {
     std::unique_lock Lock(this->Mutex);
-    return this->Changed.wait_for(Lock, Patience, [&] { return this->Left; });
+    return this->Changed.wait_for(Lock, AnswerTimeout,
+                                  [&] { return this->Left; });
   }
 
 private:
@@ -101,8 +102,8 @@
   bool Left = false;
 };
 
-/// The highest descriptor in use is \p Top: all below are taken while this
-/// lives, so that the next to be freed is the next to be given out.
+/// Opens all free descriptors up to \p Top. While the result exists, the next
+/// descriptor that is freed is the next one to be reused.
 std::vector<Descriptor> fillDescriptorsTo(int Top) {
   std::vector<Descriptor> Filled;
   while (true) {
@@ -115,7 +116,7 @@
 
 constexpr int AboveAllInUse = 200;
 
-/// No descriptor can be had while this lives.
+/// No descriptor can be opened while an object of this class exists.
 class NoMoreDescriptors {
 public:
   NoMoreDescriptors() {
@@ -155,11 +156,11 @@
 
 TEST(HttpServerTest, AnAnswerNeverReachesTheNextCallerOnTheSameDescriptor) {
   struct Case {
-    /// What the leaving caller sends last.
+    /// The last request of the leaving caller.
     const char *Request;
-    /// Whether our handler answers it, or the library does.
+    /// Whether the handler answers it, or the server itself.
     bool Handled;
-    /// What the next caller must not read.
+    /// Text that the next caller must not read.
     const char *Foreign;
   };
   const Case Cases[] = {
@@ -184,7 +185,7 @@
     std::vector<Descriptor> Filled = fillDescriptorsTo(AboveAllInUse);
     Holding.ask("/hold/1");
     this->Handler->reply("/hold/1");
-    // While the server's thread is held: the first caller leaves, another
+    // While the server's thread is blocked, the first caller leaves, another
     // sends a request, a third connects, and the first one's answer is ready.
     if (!Row.Handled)
       Leaving.send(Row.Request);
@@ -197,8 +198,8 @@
       this->Handler->answer("/first");
     this->Handler->release("/hold/1");
     this->Handler->reply("/hold/2");
-    // Now the first caller's connection is closed, and the next caller gets
-    // its descriptor's number before the server comes to what it has to write.
+    // Now the first caller's connection is closed, and the next caller gets its
+    // descriptor number before the server writes the pending answer.
     Next.connect();
     std::this_thread::sleep_for(milliseconds(100));
     this->Handler->release("/hold/2");
@@ -210,7 +211,7 @@
   }
 }
 
-TEST(HttpServerTest, AnAnswerLooksAsItsRequestAsks) {
+TEST(HttpServerTest, TheRequestDeterminesTheFormOfItsAnswer) {
   this->serve();
   struct Case {
     const char *Request;
@@ -239,7 +240,7 @@
   }
 }
 
-TEST(HttpServerTest, AnswersOnOneConnectionLeaveInTheOrderOfTheirRequests) {
+TEST(HttpServerTest, AnswersOnAConnectionAreSentInRequestOrder) {
   this->serve();
   Caller Asking = this->connected();
   Asking.ask("/one");
@@ -264,7 +265,7 @@
   Reply->send(Large);
   CHECK(std::chrono::steady_clock::now() - Began < milliseconds(1000));
   LONGS_EQUAL(1, this->Server->answers().blocked());
-  // Nobody else waits for the slow reader.
+  // Other callers do not wait for the slow reader.
   Other.ask("/other");
   this->Handler->answer("/other");
   STRCMP_CONTAINS("/other", Other.readAnswer().c_str());
@@ -290,7 +291,7 @@
 
 TEST(HttpServerTest, APendingOrIdleCallerIsNotTakenForASlowSender) {
   constexpr milliseconds Limit{300};
-  // Slow senders are looked for twice a second.
+  // The server checks for slow senders twice per second.
   constexpr milliseconds Longer{1500};
   this->serve({.HeaderTimeout = Limit});
   Caller Pending = this->connected();
@@ -337,10 +338,10 @@
                   this->Server->answers().describe().c_str());
 }
 
-// Half an answer must not look like one that is still to come. Without a
-// descriptor for the thread that writes on, the server closed only its own
-// hold on the connection, and the caller waited on.
-TEST(HttpServerTest, AnAnswerThatCannotBeWrittenOnEndsItsConnection) {
+// A caller must not wait for the rest of an answer that cannot be completed. If
+// no descriptor was left for the flusher thread, the server closed only its own
+// descriptor of the connection, and the caller kept waiting.
+TEST(HttpServerTest, AnAnswerThatCannotBeCompletedEndsItsConnection) {
   this->serve();
   Caller Slow = this->connected();
   Slow.ask("/large");
@@ -348,8 +349,8 @@
   constexpr std::size_t LargeSize = 20000000;
   Large.Body = std::string(LargeSize, 'x');
   std::shared_ptr<HttpReply> Reply = this->Handler->reply("/large");
-  // The sanitizers need descriptors for their first look at a type, so the
-  // types are used before: those of an answer, and the error.
+  // The sanitizers need descriptors when they first check a type, so the types
+  // of an answer and of the error are used before.
   CHECK(std::system_error(std::error_code()).code() == std::error_code());
   Caller Other = this->connected();
   Other.ask("/other");
@@ -377,7 +378,7 @@
   std::this_thread::sleep_for(milliseconds(100));
   CHECK_FALSE(Reply->hasClient());
   this->Handler->release("/hold");
-  // Looking has not hidden the end from the HTTP library.
+  // hasClient() must not hide the end of the connection from the HTTP library.
   CHECK(this->Handler->waitForLeaving());
 }
 
@@ -393,9 +394,9 @@
   CHECK(Half.seesEnd());
 }
 
-// Answers leave in the order of their requests, so one that never comes holds
-// back all later ones of its connection, unless that ends.
-TEST(HttpServerTest, AReplyThatIsDroppedEndsItsConnection) {
+// Answers are sent in the order of their requests, so a missing one would block
+// all later ones on its connection.
+TEST(HttpServerTest, ADroppedReplyEndsItsConnection) {
   this->serve();
   Caller Asking = this->connected();
   Asking.ask("/dropped");
@@ -411,13 +412,13 @@
   CHECK(Asking.seesEnd());
 }
 
-// A slow sender that left when the library had just queued its 408 was removed
-// twice, which ended the whole process.
+// A slow sender that left just after the library had queued its 408 was removed
+// twice, which terminated the process.
 TEST(HttpServerTest, ASlowSenderThatLeavesIsClosedOnce) {
   constexpr int Senders = 20;
   constexpr int Opened = 400;
-  // Slow senders are looked for twice a second.
-  constexpr milliseconds PastALook{700};
+  // The server checks for slow senders twice per second.
+  constexpr milliseconds CheckPeriod{700};
   this->serve({.HeaderTimeout = milliseconds(100)});
   for (bool LeavesBefore : {true, false}) {
     std::string Hold = LeavesBefore ? "/hold/before" : "/hold/after";
@@ -431,12 +432,12 @@
     Holding.ask(Hold);
     this->Handler->reply(Hold);
     if (!LeavesBefore)
-      std::this_thread::sleep_for(PastALook);
+      std::this_thread::sleep_for(CheckPeriod);
     Slow.clear();
     if (LeavesBefore)
-      std::this_thread::sleep_for(PastALook);
+      std::this_thread::sleep_for(CheckPeriod);
     this->Handler->release(Hold);
-    // A number that the server closes twice may by then be one of these.
+    // If the server closed a descriptor twice, one of these would be closed.
     std::vector<Descriptor> Others;
     for (int I = 0; I < Opened; ++I) {
       Others.emplace_back(::open("/dev/null", O_RDONLY | O_CLOEXEC));
@@ -452,10 +453,10 @@
   }
 }
 
-// An entry that was told to end took "no job in flight for 200 ms" for proof
-// that it had answered all. A request that waits for a loop which is held up
-// for longer is in no job yet, and was cut.
-TEST(HttpServerTest, KnowsOfEachRequestThatStillNeedsItsAnswer) {
+// An entry that was shutting down took "no job in flight for 200 ms" as proof
+// that all requests were answered. A request that waits for a loop which is
+// blocked for longer has no job yet, and its connection was cut.
+TEST(HttpServerTest, CountsRequestsThatStillNeedAnAnswer) {
   this->serve();
   Caller First = this->connected();
   Caller Second = this->connected();
@@ -467,7 +468,7 @@
   LONGS_EQUAL(2, this->Server->answers().unanswered());
   this->Handler->answer("/first");
   LONGS_EQUAL(1, this->Server->answers().unanswered());
-  // Its caller has gone, and nobody needs the answer any more once it is made.
+  // An answer whose caller has left counts as settled once it is made.
   Second.leave();
   CHECK(this->Handler->waitForLeaving());
   this->Handler->answer("/second");
--- a/tests/http/request_age_test.cpp
+++ b/tests/http/request_age_test.cpp
@@ -1,4 +1,4 @@
-//===- What a server knows of the time that requests lay unread -----------===//
+//===- Age of requests when the server reads them -------------------------===//
 
 #include "http/http_server.h"
 #include "tests/support/http_caller.h"
@@ -12,7 +12,7 @@
 #include <thread>
 #include <vector>
 
-// Last: it redefines new.
+// Included last, as it redefines new.
 #include <CppUTest/TestHarness.h>
 
 using namespace yardwheel;
@@ -20,12 +20,12 @@
 
 namespace {
 
-/// Above the tick of the host's clock, and what a busy host may add.
+/// More than the resolution of the host's clock and the delay of a busy host.
 constexpr milliseconds Tolerance{20};
 
-/// Notes each request's age, and holds the server's thread on /hold, whose age
-/// it notes again as that of /held.
-class AgeNoter final : public HttpHandler {
+/// Records the age of each request. Blocks the server's thread on /hold, and
+/// records the age of that request again as /held after the release.
+class AgeRecorder final : public HttpHandler {
 public:
   void handle(const HttpRequest &Request,
               std::shared_ptr<HttpReply> Reply) override {
@@ -45,7 +45,7 @@
     this->Released = true;
     this->Changed.notify_all();
   }
-  /// Once the request has been read.
+  /// Returns the recorded age, after waiting for the request to be read.
   std::optional<RequestAge> age(const std::string &Path) {
     std::unique_lock Lock(this->Mutex);
     this->Changed.wait_for(Lock, CallerPatience,
@@ -68,23 +68,23 @@
 
 TEST_GROUP(RequestAgeTest) {
   std::uint16_t Port = freeHttpPort();
-  std::shared_ptr<AgeNoter> Handler = std::make_shared<AgeNoter>();
+  std::shared_ptr<AgeRecorder> Handler = std::make_shared<AgeRecorder>();
   HttpServer Server{
       {.Listen = "127.0.0.1:" + std::to_string(Port), .Threads = 1}, Handler};
 
   void teardown() override { Handler->release(); }
 };
 
-// The server's only thread reads nothing for a while.
-TEST(RequestAgeTest, ARequestIsAsOldAsTheTimeThatItLayUnread) {
+// The server's only thread is blocked for a while.
+TEST(RequestAgeTest, TheAgeIncludesTheTimeBeforeReading) {
   struct Row {
     const char *Name;
     const char *Path;
-    /// What is sent behind it at once.
+    /// Sent directly after the request.
     std::string Behind;
-    /// What is sent on its connection when the half of the time has passed.
+    /// Sent on the same connection after half of the time.
     std::string Later;
-    /// Of what was sent last.
+    /// How long the last input stays unread.
     milliseconds Unread;
     bool HasUpperBound;
   };
@@ -114,7 +114,7 @@
   Handler->release();
   for (const Row &Row : Rows) {
     std::optional<RequestAge> Age = Handler->age(Row.Path);
-    // How much later it was read, at most.
+    // The maximum additional delay until it was read.
     Duration Passed =
         std::chrono::time_point_cast<Duration>(BootClock::now()) - Before;
     CHECK_TEXT(Age.has_value(), Row.Name);
@@ -126,7 +126,7 @@
   }
 }
 
-TEST(RequestAgeTest, WhatComesBehindLaterHidesTheAge) {
+TEST(RequestAgeTest, LaterInputHidesTheMaximumAge) {
   Caller Holding(this->Port);
   Holding.connect();
   Holding.ask("/hold");
@@ -144,12 +144,12 @@
 TEST(RequestAgeTest, ARequestThatIsReadAtOnceIsNew) {
   Caller Asking(this->Port);
   Asking.connect();
-  // The connection is older than what comes on it.
+  // Makes the connection older than its input.
   std::this_thread::sleep_for(milliseconds(200));
   TimePoint Before = std::chrono::time_point_cast<Duration>(BootClock::now());
   Asking.ask("/new");
   std::optional<RequestAge> Age = Handler->age("/new");
-  // It cannot have been there for longer, however late it was read.
+  // An upper bound of the age, however late the request was read.
   Duration Passed =
       std::chrono::time_point_cast<Duration>(BootClock::now()) - Before;
   CHECK(Age.has_value());
@@ -157,7 +157,7 @@
   CHECK(*Age->AtMost <= Passed + Tolerance);
 }
 
-TEST(RequestAgeTest, WhereTheHostDoesNotTellNothingIsSaid) {
+TEST(RequestAgeTest, NoAgeIfTheHostDoesNotProvideIt) {
   int Pair[2];
   LONGS_EQUAL(0, ::socketpair(AF_UNIX, SOCK_STREAM, 0, Pair));
   Descriptor One(Pair[0]);
--- a/tests/http/request_reader_test.cpp
+++ b/tests/http/request_reader_test.cpp
@@ -1,8 +1,8 @@
-//===- Random bytes and random cuts ----------------------------------------=//
+//===- Random input and random segmentation --------------------------------=//
 //
-// What is read on a connection must not depend on how its bytes happen to be
-// cut into segments, and no bytes may end the process or be read as requests
-// behind a refusal.
+// The requests read from a connection must not depend on how its bytes are
+// split into segments. No input may terminate the process or be read as
+// requests after a refusal.
 //
 //===----------------------------------------------------------------------===//
 
@@ -12,7 +12,7 @@
 #include <fmt/format.h>
 #include <random>
 
-// Last: it redefines new.
+// Included last, as it redefines new.
 #include <CppUTest/TestHarness.h>
 
 using namespace yardwheel;
@@ -25,8 +25,8 @@
 
 using Random = std::mt19937_64;
 
-std::size_t upTo(Random &Source, std::size_t Most) {
-  return std::uniform_int_distribution<std::size_t>(0, Most)(Source);
+std::size_t upTo(Random &Source, std::size_t Max) {
+  return std::uniform_int_distribution<std::size_t>(0, Max)(Source);
 }
 
 std::string chunked(Random &Source, const std::string &Body) {
@@ -59,7 +59,7 @@
   return Bytes;
 }
 
-/// Changes, drops or doubles some bytes.
+/// Changes, removes or duplicates some bytes.
 void damage(Random &Source, std::string &Bytes) {
   for (std::size_t Left = 1 + upTo(Source, 3); Left > 0; --Left) {
     std::size_t At = upTo(Source, Bytes.size() - 1);
@@ -79,7 +79,8 @@
   }
 }
 
-/// All that a reader makes of the bytes, in pieces of up to \p Piece.
+/// Returns a description of all that a reader parses from \p Bytes, fed in
+/// pieces of up to \p Piece bytes.
 std::string readAll(Random &Source, const std::string &Bytes,
                     std::size_t Piece) {
   ReaderOptions Options{.MaxHeadBytes = HeadLimit, .MaxBodyBytes = BodyLimit};
@@ -104,7 +105,7 @@
 
 TEST_GROUP(RequestReaderTest){};
 
-TEST(RequestReaderTest, CutsChangeNothingOfWhatIsRead) {
+TEST(RequestReaderTest, SegmentationDoesNotChangeTheRequests) {
   SeedRange Seeds = seedRange(DefaultSeeds);
   for (std::uint64_t Seed = Seeds.First; Seed <= Seeds.Last; ++Seed) {
     Random Source(Seed);
@@ -118,9 +119,10 @@
   }
 }
 
-// Where a mistake shows may depend on the cut: a line without its end looks
-// like one that is still to come. What is read as requests does not.
-TEST(RequestReaderTest, DamagedBytesAreReadAlikeOrRefused) {
+// When an error is detected may depend on the segmentation, since a line whose
+// end is missing looks like an incomplete one. The requests read before it must
+// not depend on it.
+TEST(RequestReaderTest, SegmentationDoesNotChangeDamagedInput) {
   SeedRange Seeds = seedRange(DefaultSeeds);
   for (std::uint64_t Seed = Seeds.First; Seed <= Seeds.Last; ++Seed) {
     Random Source(Seed);
