--- a/transport/link_node.cpp
+++ b/transport/link_node.cpp
@@ -3,11 +3,11 @@
 namespace yardwheel {
 
 LinkNode::LinkNode(const LinkIdentity &Self, const LinkOptions &Options,
-                   const Clock &Source, std::chrono::milliseconds TickEvery)
+                   const Clock &Source, std::chrono::milliseconds TickInterval)
     : Source(Source), Server(Self),
       Links(Self, this->Server.waiter().queue(), Source, Options),
       Loop(
-          Source, this->Server.waiter(), TickEvery,
+          Source, this->Server.waiter(), TickInterval,
           [this](Instant Now) {
             this->Links.tick(Now.Steady, this->Loop.lastBehind());
             this->Handlers.Tick(Now);
@@ -31,7 +31,7 @@
   if (!this->Running)
     return;
   this->Running = false;
-  // The loop's thread ends the streams that the server waits for.
+  // The server waits for its streams, which end on the loop's thread.
   this->Server.stop();
   this->Loop.stop();
   this->Links.onFailure(nullptr);
