--- a/dispatch/fair_queue.h
+++ b/dispatch/fair_queue.h
@@ -57,7 +57,7 @@
   std::optional<WaitingTask> front() const;
   /// Removes the front task and counts it as in flight.
   void pop();
-  /// Records that a task in flight has ended or has been returned.
+  /// Records that a task in flight has ended or has been given back.
   void onSettled(const std::string &Workspace);
 
   std::size_t waiting(const std::string &Workspace) const;
--- a/entry/worker_table.h
+++ b/entry/worker_table.h
@@ -80,7 +80,8 @@
   bool Alive = false;
   /// Control has lost the agent, but this entry still hears from it.
   bool OnlyReachableHere = false;
-  /// A link to the agent has failed; nothing is sent until it is heard from
+  /// Set when a link to the agent has failed or when it has left renewals
+  /// unanswered while it had tasks; nothing is sent until it is heard from
   /// again.
   bool Unreachable = false;
   /// A probe has not been answered in time; no new tasks are sent until the
--- a/tests/entry/table_lease_test.cpp
+++ b/tests/entry/table_lease_test.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 constexpr TimePoint Now{1h};
-/// No search of control has ended without a leader.
+/// Marks rows in which no search of control has ended without a leader.
 constexpr auto Never = std::chrono::milliseconds::max();
 
 } // namespace
@@ -29,9 +29,9 @@
   struct Row {
     const char *Name;
     std::chrono::milliseconds ConfirmedAgo;
-    std::chrono::milliseconds SearchedAgo;
+    std::chrono::milliseconds NoLeaderAgo;
     std::chrono::milliseconds IdleAgo;
-    std::chrono::milliseconds WatchedAgo;
+    std::chrono::milliseconds TickAgo;
     TableState Expected;
   };
   const Row Rows[] = {
@@ -41,10 +41,11 @@
        TableState::Current},
       {"too old, no leader at any replica", 1751ms, 1251ms, 0ms, 0ms,
        TableState::Unreachable},
-      {"the same for long", 30s, 1000ms, 0ms, 0ms, TableState::Unreachable},
+      {"the same, for a long time", 30s, 1000ms, 0ms, 0ms,
+       TableState::Unreachable},
       {"too old, not all replicas asked", 1751ms, Never, 0ms, 0ms,
        TableState::Unknown},
-      {"the same for long", 30s, Never, 0ms, 0ms, TableState::Unknown},
+      {"the same, for a long time", 30s, Never, 0ms, 0ms, TableState::Unknown},
       {"no leader found, at the limit", 30s, 1750ms, 0ms, 0ms,
        TableState::Unreachable},
       {"a leader may have been elected since", 30s, 1751ms, 0ms, 0ms,
@@ -57,9 +58,9 @@
   for (const Row &Row : Rows) {
     TableLease Fresh(Options);
     Fresh.confirm(Now - Row.ConfirmedAgo);
-    if (Row.SearchedAgo != Never)
-      Fresh.setNoLeaderSince(Now - Row.SearchedAgo);
-    Fresh.tick(Now - Row.WatchedAgo);
+    if (Row.NoLeaderAgo != Never)
+      Fresh.setNoLeaderSince(Now - Row.NoLeaderAgo);
+    Fresh.tick(Now - Row.TickAgo);
     TableStatus Found = Fresh.status(Now, Now - Row.IdleAgo);
     STRCMP_EQUAL_TEXT(tableStateName(Row.Expected), tableStateName(Found.State),
                       Row.Name);
