--- a/bench/overload_main.cpp
+++ b/bench/overload_main.cpp
@@ -110,8 +110,8 @@
     ::add(this->Sum, Seen.Routes);
     this->Effort.TasksSent += Seen.Effort.TasksSent;
     this->Effort.TasksRefused += Seen.Effort.TasksRefused;
-    this->Effort.MostBusy =
-        std::max(this->Effort.MostBusy, Seen.Effort.MostBusy);
+    this->Effort.MaxBusyShare =
+        std::max(this->Effort.MaxBusyShare, Seen.Effort.MaxBusyShare);
   }
 
   std::string line(const char *Name) const {
@@ -126,8 +126,8 @@
     Line += fmt::format("; tasks given back {:.3f}",
                         static_cast<double>(this->Effort.TasksRefused) /
                             static_cast<double>(this->Effort.TasksSent));
-    if (this->Effort.MostBusy > 0)
-      Line += fmt::format("; busiest entry {:.2f}", this->Effort.MostBusy);
+    if (this->Effort.MaxBusyShare > 0)
+      Line += fmt::format("; busiest entry {:.2f}", this->Effort.MaxBusyShare);
     return Line;
   }
 };
--- a/emulator/leased_agent.cpp
+++ b/emulator/leased_agent.cpp
@@ -6,13 +6,13 @@
 
 /// One way between an agent and its worker, which share a host.
 constexpr std::chrono::microseconds WorkerDelay{200};
-constexpr std::chrono::milliseconds AnnounceEvery{1000};
+constexpr std::chrono::milliseconds AnnounceInterval{1000};
 /// Before a call counts as unanswered, beyond the time that it may wait.
 constexpr std::chrono::milliseconds CallTimeout{50};
 constexpr std::chrono::milliseconds HoldSlack{80};
 /// When a late call is carried out.
-constexpr std::chrono::milliseconds LeastLate{2000};
-constexpr std::chrono::milliseconds MostLate{12000};
+constexpr std::chrono::milliseconds MinLateDelay{2000};
+constexpr std::chrono::milliseconds MaxLateDelay{12000};
 constexpr std::uint32_t WholePermille = 1000;
 /// Between the incarnations of two lives: more than the workers' lives that
 /// one sees, each of which takes a number.
@@ -75,7 +75,7 @@
     this->World.runOn(this->Name, [this, Profile = this->Worker.announce()] {
       this->Keeper->onProfile(Profile, this->World.now());
     });
-  this->World.after(AnnounceEvery, [this] { this->announceWorker(); });
+  this->World.after(AnnounceInterval, [this] { this->announceWorker(); });
 }
 
 peer::Member LeasedAgent::member() const {
@@ -93,7 +93,7 @@
 
 // ---- Calls to the worker ----
 
-LeasedAgent::CallFate LeasedAgent::drawFate() {
+LeasedAgent::CallFate LeasedAgent::drawCallFate() {
   std::uint32_t Sum = this->Faults.LostPermille +
                       this->Faults.UnansweredPermille +
                       this->Faults.LatePermille;
@@ -109,7 +109,7 @@
                                                  : CallFate::Late;
 }
 
-LeasedAgent::Answer LeasedAgent::toThisLife(const Answer &Take) {
+LeasedAgent::Answer LeasedAgent::replyToThisLife(const Answer &Take) {
   return [this, Take, Life = this->Life](const WorkerReply &Reply) {
     this->World.after(WorkerDelay, [this, Take, Life, Reply] {
       // Connections end with the life that made them.
@@ -122,8 +122,8 @@
 void LeasedAgent::call(std::chrono::milliseconds Timeout,
                        const std::function<void(const Answer &Reply)> &CarryOut,
                        const Answer &Take) {
-  Answer Reply = this->toThisLife(Take);
-  CallFate Fate = this->drawFate();
+  Answer Reply = this->replyToThisLife(Take);
+  CallFate Fate = this->drawCallFate();
   if (Fate == CallFate::Carried) {
     this->World.after(WorkerDelay, [CarryOut, Reply] { CarryOut(Reply); });
     return;
@@ -131,8 +131,9 @@
   this->World.after(Timeout, [Reply] { Reply(WorkerReply()); });
   Duration Delay = WorkerDelay;
   if (Fate == CallFate::Late)
-    Delay = LeastLate + std::chrono::milliseconds(
-                            this->Random() % (MostLate - LeastLate).count());
+    Delay = MinLateDelay +
+            std::chrono::milliseconds(this->Random() %
+                                      (MaxLateDelay - MinLateDelay).count());
   if (Fate != CallFate::Lost)
     this->World.after(Delay,
                       [CarryOut] { CarryOut([](const WorkerReply &) {}); });
--- a/emulator/leased_agent.h
+++ b/emulator/leased_agent.h
@@ -67,14 +67,14 @@
   void beginLife();
   /// The worker tells this agent of itself, now and each second.
   void announceWorker();
-  CallFate drawFate();
+  CallFate drawCallFate();
   /// Plays a call: \p CarryOut runs at the worker, its answer reaches the
   /// agent, or after \p Timeout none.
   void call(std::chrono::milliseconds Timeout,
             const std::function<void(const Answer &Reply)> &CarryOut,
             const Answer &Take);
   /// Hands a reply to the life of this process that made the call.
-  Answer toThisLife(const Answer &Take);
+  Answer replyToThisLife(const Answer &Take);
 
   VirtualWorld &World;
   std::string Name;
--- a/emulator/leased_entry.cpp
+++ b/emulator/leased_entry.cpp
@@ -45,7 +45,7 @@
   this->World.kill(this->Name);
   this->Unanswered.clear();
   this->Taken.clear();
-  std::map<HandIn, Listener> Broken;
+  std::map<SubmissionId, Listener> Broken;
   std::swap(Broken, this->Callers);
   for (const auto &[Which, Hear] : Broken)
     Hear(std::nullopt);
@@ -95,8 +95,8 @@
 
 // ---- Callers ----
 
-void LeasedEntry::handIn(HandIn Which, const LeasedJobRequest &Job,
-                         Listener Hear) {
+void LeasedEntry::submitJob(SubmissionId Which, const LeasedJobRequest &Job,
+                            Listener Hear) {
   if (!this->World.isUp(this->Name)) {
     Hear(std::nullopt);
     return;
@@ -105,7 +105,7 @@
   this->runSoon([this, Which, Job] { this->read(Which, Job); });
 }
 
-void LeasedEntry::read(HandIn Which, const LeasedJobRequest &Job) {
+void LeasedEntry::read(SubmissionId Which, const LeasedJobRequest &Job) {
   bool WasBehind = this->lastBehind() == this->World.now().Steady;
   if (WasBehind && !this->hasCaller(Which)) {
     bool MayHaveRun = this->Taken.contains(Job.Id);
@@ -144,7 +144,7 @@
   return this->Callers.contains(Ticket);
 }
 
-void LeasedEntry::hangUp(HandIn Which) {
+void LeasedEntry::disconnect(SubmissionId Which) {
   if (this->Callers.erase(Which) == 0)
     return;
   this->World.runOn(this->Name, [this, Which] {
@@ -169,7 +169,7 @@
   this->runSoon([this, Ticket, Answer] { this->answer(Ticket, Answer); });
 }
 
-void LeasedEntry::answer(HandIn Which, const LeasedAnswer &Answer) {
+void LeasedEntry::answer(SubmissionId Which, const LeasedAnswer &Answer) {
   auto Found = this->Callers.find(Which);
   if (Found == this->Callers.end())
     return;
--- a/emulator/leased_entry.h
+++ b/emulator/leased_entry.h
@@ -45,9 +45,10 @@
 
   const std::string &name() const { return this->Name; }
   void meet(const peer::Member &Agent);
-  void handIn(HandIn Which, const LeasedJobRequest &Job, Listener Hear);
+  void submitJob(SubmissionId Which, const LeasedJobRequest &Job,
+                 Listener Hear);
   /// The caller closes its connection, and hears nothing more.
-  void hangUp(HandIn Which);
+  void disconnect(SubmissionId Which);
   /// Ends the process, and all connections of callers with it.
   void kill();
   /// Begins another life of the process, which was killed.
@@ -65,7 +66,7 @@
   std::size_t unanswered() const { return this->Unanswered.size(); }
   /// Answers to hand-ins that had been answered before.
   std::uint32_t answeredTwice() const { return this->AnsweredTwice; }
-  const std::set<HandIn> &notRun() const { return this->NotRun; }
+  const std::set<SubmissionId> &notRun() const { return this->NotRun; }
 
 private:
   void beginLife();
@@ -78,8 +79,8 @@
   /// Hands something that another thread has read on to the loop.
   void handOver(const std::function<void()> &Action);
   /// Reads a request, as another thread than the loop does.
-  void read(HandIn Which, const LeasedJobRequest &Job);
-  void answer(HandIn Which, const LeasedAnswer &Answer);
+  void read(SubmissionId Which, const LeasedJobRequest &Job);
+  void answer(SubmissionId Which, const LeasedAnswer &Answer);
 
   VirtualWorld &World;
   std::string Name;
@@ -92,12 +93,12 @@
   TimePoint LastBehind = TimePoint::min();
   TimePoint LastHandOver = TimePoint::min();
   /// Callers whose connections are open.
-  std::map<HandIn, Listener> Callers;
+  std::map<SubmissionId, Listener> Callers;
   /// What the coordinator owes an answer for, and its job.
-  std::map<HandIn, std::string> Unanswered;
+  std::map<SubmissionId, std::string> Unanswered;
   /// Jobs that have been taken.
   std::set<std::string> Taken;
-  std::set<HandIn> NotRun;
+  std::set<SubmissionId> NotRun;
   std::uint32_t AnsweredTwice = 0;
 };
 
--- a/emulator/leased_world.cpp
+++ b/emulator/leased_world.cpp
@@ -9,7 +9,7 @@
 
 const std::string PoolName = "pool";
 /// After an agent's restart, until control has told entries of it.
-constexpr std::chrono::milliseconds MostNewsDelay{1000};
+constexpr std::chrono::milliseconds MaxMemberUpdateDelay{1000};
 
 LeasedEntryOptions entryOptions(const LeasedWorldOptions &Options,
                                 std::size_t Which) {
@@ -54,15 +54,15 @@
   this->Begun = this->World.now().Steady;
 }
 
-HandIn
-LeasedWorld::handIn(std::size_t Entry, LeasedJobRequest Job,
-                    const std::vector<std::chrono::milliseconds> &Lengths,
-                    LeasedEntry::Listener Hear) {
-  HandIn Which = ++this->LastHandIn;
+SubmissionId
+LeasedWorld::submitJob(std::size_t Entry, LeasedJobRequest Job,
+                       const std::vector<std::chrono::milliseconds> &Lengths,
+                       LeasedEntry::Listener Hear) {
+  SubmissionId Which = ++this->LastSubmission;
   Job.Pool = PoolName;
   Job.TaskCount = static_cast<std::uint32_t>(Lengths.size());
   Job.Spec = specOf(Which, Lengths);
-  this->Entries.at(Entry)->handIn(Which, Job, std::move(Hear));
+  this->Entries.at(Entry)->submitJob(Which, Job, std::move(Hear));
   return Which;
 }
 
@@ -72,12 +72,12 @@
   std::string Route = Job.Route;
   ++this->Outcomes[Route].Asked;
   TimePoint Due = this->World.now().Steady + LateAfter;
-  this->handIn(Entry, std::move(Job), Lengths,
-               [this, Route, Due](const std::optional<LeasedAnswer> &Answer) {
-                 bool InTime = this->World.now().Steady <= Due;
-                 this->onEnded(Route, InTime,
-                               Answer ? Answer->End : LeasedEnd::Unknown);
-               });
+  this->submitJob(
+      Entry, std::move(Job), Lengths,
+      [this, Route, Due](const std::optional<LeasedAnswer> &Answer) {
+        bool InTime = this->World.now().Steady <= Due;
+        this->onEnded(Route, InTime, Answer ? Answer->End : LeasedEnd::Unknown);
+      });
 }
 
 void LeasedWorld::restartEntry(std::size_t Which) {
@@ -91,7 +91,7 @@
   Agent.restart();
   for (const auto &Entry : this->Entries) {
     auto Delay = std::chrono::milliseconds(static_cast<std::int64_t>(
-        this->World.random()() % MostNewsDelay.count()));
+        this->World.random()() % MaxMemberUpdateDelay.count()));
     this->World.after(Delay, [&Entry = *Entry, Member = Agent.member()] {
       Entry.meet(Member);
     });
@@ -105,7 +105,7 @@
     Effort.TasksSent += Entry->counters().TasksSent;
     Effort.TasksRefused += Entry->counters().TasksRefused;
     std::chrono::duration<double> Busy = Entry->busy();
-    Effort.MostBusy = std::max(Effort.MostBusy, Busy / Passed);
+    Effort.MaxBusyShare = std::max(Effort.MaxBusyShare, Busy / Passed);
   }
   return Effort;
 }
--- a/emulator/leased_world.h
+++ b/emulator/leased_world.h
@@ -52,7 +52,7 @@
   /// Of these, the ones that agents gave back without starting them.
   std::uint64_t TasksRefused = 0;
   /// Share of its processor's time that the busiest entry has used.
-  double MostBusy = 0;
+  double MaxBusyShare = 0;
 };
 
 /// Jobs of one route, by how they ended.
@@ -86,11 +86,11 @@
               const std::vector<std::chrono::milliseconds> &Lengths,
               std::chrono::milliseconds LateAfter);
   /// The same for a caller that hears of the end himself.
-  HandIn handIn(std::size_t Entry, LeasedJobRequest Job,
-                const std::vector<std::chrono::milliseconds> &Lengths,
-                LeasedEntry::Listener Hear);
+  SubmissionId submitJob(std::size_t Entry, LeasedJobRequest Job,
+                         const std::vector<std::chrono::milliseconds> &Lengths,
+                         LeasedEntry::Listener Hear);
   /// The number that the next hand-in gets.
-  HandIn nextHandIn() const { return this->LastHandIn + 1; }
+  SubmissionId nextSubmission() const { return this->LastSubmission + 1; }
   /// Begins another life of an entry that was killed; it is told of all agents.
   void restartEntry(std::size_t Which);
   /// The same for an agent; entries are told of it some time later.
@@ -101,8 +101,8 @@
   }
   EntryEffort effort() const;
   const RunRegister &runs() const { return this->Runs; }
-  std::uint32_t doubledRuns() const { return this->Runs.doubled(); }
-  CrashToll crashToll() const { return this->Runs.crashToll(); }
+  std::uint32_t overlappingRuns() const { return this->Runs.doubled(); }
+  CrashStats crashStats() const { return this->Runs.crashStats(); }
   /// When the load could begin.
   TimePoint begun() const { return this->Begun; }
 
@@ -112,7 +112,7 @@
   VirtualWorld World;
   RunRegister Runs;
   TimePoint Begun;
-  HandIn LastHandIn = 0;
+  SubmissionId LastSubmission = 0;
   std::vector<std::unique_ptr<LeasedEntry>> Entries;
   std::vector<std::unique_ptr<LeasedAgent>> Agents;
   std::map<std::string, RouteOutcome> Outcomes;
--- a/emulator/mixed_load.cpp
+++ b/emulator/mixed_load.cpp
@@ -16,7 +16,7 @@
 /// Lets what was taken last end.
 constexpr std::chrono::milliseconds Drained{7000};
 /// What a late answer is worth to its caller, against one in time.
-constexpr double LateWorth = 0.2;
+constexpr double LateCredit = 0.2;
 
 /// Draws around a mean of 1.
 class Spread {
@@ -161,14 +161,14 @@
   World.world().run(Options.Lasts);
   EntryEffort Effort = World.effort();
   World.world().run(Drained);
-  return {World.outcomes(), World.doubledRuns(), Effort};
+  return {World.outcomes(), World.overlappingRuns(), Effort};
 }
 
 double creditOf(const std::map<std::string, RouteOutcome> &Routes) {
   double Sum = 0;
   for (const auto &[Route, Seen] : Routes)
-    Sum +=
-        (Seen.InTime + LateWorth * Seen.Late) / std::max<double>(Seen.Asked, 1);
+    Sum += (Seen.InTime + LateCredit * Seen.Late) /
+           std::max<double>(Seen.Asked, 1);
   return Routes.empty() ? 0 : Sum / static_cast<double>(Routes.size());
 }
 
--- a/emulator/mixed_load.h
+++ b/emulator/mixed_load.h
@@ -72,7 +72,7 @@
 
 struct MixedOutcome {
   std::map<std::string, RouteOutcome> Routes;
-  std::uint32_t DoubledRuns = 0;
+  std::uint32_t OverlappingRuns = 0;
   EntryEffort Effort;
 };
 
--- a/emulator/persistent_caller.cpp
+++ b/emulator/persistent_caller.cpp
@@ -35,7 +35,7 @@
 void PersistentCaller::begin() { this->tryOnce(); }
 
 void PersistentCaller::tryAgainAfter(std::chrono::milliseconds Delay) {
-  if (this->Tries >= this->Options.MostTries) {
+  if (this->Tries >= this->Options.MaxTries) {
     this->Ended = LeasedEnd::Unknown;
     return;
   }
@@ -52,25 +52,26 @@
   ++this->Tries;
   this->Waits = true;
   // It may be answered within the call.
-  HandIn Next = this->World.nextHandIn();
+  SubmissionId Next = this->World.nextSubmission();
   this->Current = Next;
   this->note(fmt::format("handed in as {} at entry-{}", Next, this->Entry));
-  this->World.handIn(this->Entry, this->Job, this->Lengths,
-                     [this, Next](const std::optional<LeasedAnswer> &Answer) {
-                       if (this->Waits && this->Current == Next)
-                         this->hear(Answer);
-                     });
+  this->World.submitJob(
+      this->Entry, this->Job, this->Lengths,
+      [this, Next](const std::optional<LeasedAnswer> &Answer) {
+        if (this->Waits && this->Current == Next)
+          this->hear(Answer);
+      });
   this->World.world().after(
       std::min(this->Job.Deadline, this->Options.Patience), [this, Next] {
         if (this->Waits && this->Current == Next)
-          this->hangUp();
+          this->disconnect();
       });
 }
 
-void PersistentCaller::hangUp() {
+void PersistentCaller::disconnect() {
   this->note(fmt::format("closes {}: no answer in time", this->Current));
   this->Waits = false;
-  this->World.entry(this->Entry).hangUp(this->Current);
+  this->World.entry(this->Entry).disconnect(this->Current);
   this->tryAgainAfter(this->Options.ResubmitAfter);
 }
 
--- a/emulator/persistent_caller.h
+++ b/emulator/persistent_caller.h
@@ -22,7 +22,7 @@
 struct PersistentCallerOptions {
   /// Before a job that may have run is handed in again, at another entry.
   std::chrono::milliseconds ResubmitAfter{1300};
-  std::uint32_t MostTries = 8;
+  std::uint32_t MaxTries = 8;
   /// For how long it keeps a connection open; no longer than the deadline that
   /// it declares.
   std::chrono::milliseconds Patience = std::chrono::milliseconds::max();
@@ -45,7 +45,7 @@
   void tryOnce();
   void tryAgainAfter(std::chrono::milliseconds Delay);
   void hear(const std::optional<LeasedAnswer> &Answer);
-  void hangUp();
+  void disconnect();
   /// Any but the one tried last.
   std::size_t otherEntry();
   void note(const std::string &What);
@@ -55,7 +55,7 @@
   std::vector<std::chrono::milliseconds> Lengths;
   PersistentCallerOptions Options;
   std::size_t Entry = 0;
-  HandIn Current = 0;
+  SubmissionId Current = 0;
   /// Waits for the answer to the current hand-in.
   bool Waits = false;
   std::uint32_t Tries = 0;
--- a/emulator/run_register.cpp
+++ b/emulator/run_register.cpp
@@ -6,7 +6,7 @@
 namespace yardwheel {
 
 void RunRegister::begin(const std::string &Worker, const RunKey &Run,
-                        HandIn For, TimePoint Now) {
+                        SubmissionId For, TimePoint Now) {
   TaskName Task{Run.Job, Run.Index};
   std::vector<RunRegister::Run> &Known = this->Runs[Task];
   if (std::ranges::any_of(Known, [](const RunRegister::Run &Each) {
@@ -38,18 +38,19 @@
   ++Count.Crashes;
 }
 
-CrashToll RunRegister::crashToll() const {
-  CrashToll Toll;
+CrashStats RunRegister::crashStats() const {
+  CrashStats Toll;
   for (const auto &[Task, Count] : this->CrashCounts) {
     Toll.Crashes += Count.Crashes;
-    Toll.MostUnderOneTask = std::max(Toll.MostUnderOneTask, Count.Crashes);
-    Toll.MostStartsAfterThree =
-        std::max(Toll.MostStartsAfterThree, Count.StartsAfterThree);
+    Toll.MaxCrashesOfOneTask =
+        std::max(Toll.MaxCrashesOfOneTask, Count.Crashes);
+    Toll.MaxStartsAfterThree =
+        std::max(Toll.MaxStartsAfterThree, Count.StartsAfterThree);
   }
   return Toll;
 }
 
-std::string RunRegister::describeDoubled(TimePoint Since) const {
+std::string RunRegister::describeOverlapping(TimePoint Since) const {
   std::string Text;
   for (const TaskName &Task : this->DoubledTasks) {
     Text += fmt::format("{}/{}:\n", Task.first, Task.second);
--- a/emulator/run_register.h
+++ b/emulator/run_register.h
@@ -21,20 +21,20 @@
 namespace yardwheel {
 
 /// Names one time that a caller has handed a job in.
-using HandIn = std::uint64_t;
+using SubmissionId = std::uint64_t;
 
 /// What tasks that crash their workers have done.
-struct CrashToll {
+struct CrashStats {
   std::uint32_t Crashes = 0;
   /// Workers that have crashed under one task, at most.
-  std::uint32_t MostUnderOneTask = 0;
+  std::uint32_t MaxCrashesOfOneTask = 0;
   /// Starts of a task after three workers had crashed under it, at most.
-  std::uint32_t MostStartsAfterThree = 0;
+  std::uint32_t MaxStartsAfterThree = 0;
 };
 
 class RunRegister {
 public:
-  void begin(const std::string &Worker, const RunKey &Run, HandIn For,
+  void begin(const std::string &Worker, const RunKey &Run, SubmissionId For,
              TimePoint Now);
   void end(const std::string &Worker, const RunKey &Run, const std::string &How,
            TimePoint Now);
@@ -44,17 +44,19 @@
   /// Starts of a task while another run of it was under way, at any worker.
   std::uint32_t doubled() const { return this->Doubled; }
   /// Whether a run of this hand-in has ever begun.
-  bool hasBegun(HandIn Which) const { return this->Begun.contains(Which); }
-  CrashToll crashToll() const;
+  bool hasBegun(SubmissionId Which) const {
+    return this->Begun.contains(Which);
+  }
+  CrashStats crashStats() const;
   /// A line for each run of the tasks that had two at once.
-  std::string describeDoubled(TimePoint Since) const;
+  std::string describeOverlapping(TimePoint Since) const;
 
 private:
   using TaskName = std::pair<std::string, std::uint32_t>;
   struct Run {
     std::string Worker;
     std::uint64_t Number = 0;
-    HandIn For = 0;
+    SubmissionId For = 0;
     TimePoint Began;
     TimePoint Ended = TimePoint::max();
     std::string How = "alive";
@@ -66,7 +68,7 @@
 
   std::map<TaskName, std::vector<Run>> Runs;
   std::set<TaskName> DoubledTasks;
-  std::set<HandIn> Begun;
+  std::set<SubmissionId> Begun;
   std::map<TaskName, CrashCount> CrashCounts;
   std::uint32_t Doubled = 0;
 };
--- a/emulator/virtual_worker.cpp
+++ b/emulator/virtual_worker.cpp
@@ -15,7 +15,7 @@
 constexpr WorkerTime ClockStart{480000};
 
 struct Spec {
-  HandIn For = 0;
+  SubmissionId For = 0;
   std::chrono::milliseconds Length{};
 };
 
@@ -32,7 +32,7 @@
 
 } // namespace
 
-std::string specOf(HandIn For,
+std::string specOf(SubmissionId For,
                    const std::vector<std::chrono::milliseconds> &Lengths) {
   std::string Text = fmt::format("{} ", For);
   for (std::chrono::milliseconds Length : Lengths)
@@ -167,8 +167,8 @@
   if (Found == this->Alive.end() || Found->second.Stopping)
     return Reply;
   Found->second.Stopping = true;
-  auto Takes = static_cast<std::int64_t>(this->Random() %
-                                         (this->Options.StopTakes.count() + 1));
+  auto Takes = static_cast<std::int64_t>(
+      this->Random() % (this->Options.MaxStopTime.count() + 1));
   this->World.after(std::chrono::milliseconds(Takes),
                     [this, Run = Call.Run, Life = this->Lives] {
                       if (this->Up && Life == this->Lives)
--- a/emulator/virtual_worker.h
+++ b/emulator/virtual_worker.h
@@ -27,14 +27,14 @@
 
 /// What a worker needs to know of a hand-in: who it is for, and how long its
 /// tasks run.
-std::string specOf(HandIn For,
+std::string specOf(SubmissionId For,
                    const std::vector<std::chrono::milliseconds> &Lengths);
 
 struct VirtualWorkerOptions {
   /// A longer lease is shortened to this.
   std::chrono::milliseconds MaxLease{1000};
   /// What a stop takes at most; each takes some of it.
-  std::chrono::milliseconds StopTakes{50};
+  std::chrono::milliseconds MaxStopTime{50};
   /// How much slower than real time its clock may go, in thousandths.
   std::uint32_t MaxSlowPermille = 20;
   /// One that has crashed is back after this long, as another life.
--- a/emulator/virtual_world.cpp
+++ b/emulator/virtual_world.cpp
@@ -159,11 +159,12 @@
   this->Cuts.insert({From, To});
 }
 
-void VirtualWorld::mendOneWay(const std::string &From, const std::string &To) {
+void VirtualWorld::restoreOneWay(const std::string &From,
+                                 const std::string &To) {
   this->Cuts.erase({From, To});
 }
 
-void VirtualWorld::healAll() {
+void VirtualWorld::reconnectAll() {
   this->Cuts.clear();
   this->Isolated.clear();
   this->Faults = {};
@@ -196,7 +197,7 @@
     return;
   }
   this->deliverLater(Sent, Delay);
-  if (this->Random() % WholePermille < this->Faults.DoublePermille)
+  if (this->Random() % WholePermille < this->Faults.DuplicatePermille)
     this->deliverLater(Sent, Delay);
 }
 
--- a/emulator/virtual_world.h
+++ b/emulator/virtual_world.h
@@ -27,7 +27,7 @@
 struct NetworkFaults {
   /// Chances, in thousandths.
   std::uint32_t LossPermille = 0;
-  std::uint32_t DoublePermille = 0;
+  std::uint32_t DuplicatePermille = 0;
   /// Added to a message's delay, at random up to this.
   Duration Jitter{0};
 };
@@ -78,8 +78,8 @@
   void cut(const std::string &A, const std::string &B);
   /// Nothing passes from one to the other, while the way back is open.
   void cutOneWay(const std::string &From, const std::string &To);
-  void mendOneWay(const std::string &From, const std::string &To);
-  void healAll();
+  void restoreOneWay(const std::string &From, const std::string &To);
+  void reconnectAll();
   void setFaults(NetworkFaults New) { this->Faults = New; }
   /// One-way delay between two nodes.
   void setDelay(
--- a/tests/consensus/raft_fuzz_test.cpp
+++ b/tests/consensus/raft_fuzz_test.cpp
@@ -48,12 +48,12 @@
     return;
   case 6:
     Faults.LossPermille = Random() % 300;
-    Faults.DoublePermille = Random() % 300;
+    Faults.DuplicatePermille = Random() % 300;
     Faults.Jitter = std::chrono::milliseconds(1 + Random() % 300);
     Cluster.World.setFaults(Faults);
     return;
   default:
-    Cluster.World.healAll();
+    Cluster.World.reconnectAll();
     return;
   }
 }
@@ -78,7 +78,7 @@
       injectFault(Cluster, Random);
     Cluster.run(std::chrono::milliseconds(Random() % 100));
   }
-  Cluster.World.healAll();
+  Cluster.World.reconnectAll();
   for (const std::string &Name : Cluster.names()) {
     Cluster.World.thaw(Name);
     if (!Cluster.World.isUp(Name))
--- a/tests/entry/crashing_task_test.cpp
+++ b/tests/entry/crashing_task_test.cpp
@@ -88,12 +88,12 @@
     CrashScenario Scenario(Seed, 24, 3);
     Scenario.submit("crashing", 1, 60ms, /*Crashes=*/true, 12s);
     Scenario.run(14s);
-    CrashToll Toll = Scenario.World.crashToll();
+    CrashStats Toll = Scenario.World.crashStats();
     std::string Found =
         fmt::format("seed {}: {} crashes, {} starts after three", Seed,
-                    Toll.Crashes, Toll.MostStartsAfterThree);
-    CHECK_TEXT(Toll.MostStartsAfterThree < 3, Found.c_str());
-    LONGS_EQUAL_TEXT(2, Toll.MostUnderOneTask, Found.c_str());
+                    Toll.Crashes, Toll.MaxStartsAfterThree);
+    CHECK_TEXT(Toll.MaxStartsAfterThree < 3, Found.c_str());
+    LONGS_EQUAL_TEXT(2, Toll.MaxCrashesOfOneTask, Found.c_str());
     LONGS_EQUAL_TEXT(1, Scenario.outcome("crashing").Failed, Found.c_str());
   }
 }
@@ -106,12 +106,12 @@
       Scenario.submit("crashing", 1, 60ms, /*Crashes=*/true, 1500ms, "the-job");
       Scenario.run(2800ms);
     }
-    CrashToll Toll = Scenario.World.crashToll();
+    CrashStats Toll = Scenario.World.crashStats();
     std::string Found =
         fmt::format("seed {}: {} crashes, {} starts after three", Seed,
-                    Toll.Crashes, Toll.MostStartsAfterThree);
-    CHECK_TEXT(Toll.MostStartsAfterThree < 3, Found.c_str());
-    CHECK_TEXT(Toll.MostUnderOneTask <= 4, Found.c_str());
+                    Toll.Crashes, Toll.MaxStartsAfterThree);
+    CHECK_TEXT(Toll.MaxStartsAfterThree < 3, Found.c_str());
+    CHECK_TEXT(Toll.MaxCrashesOfOneTask <= 4, Found.c_str());
   }
 }
 
@@ -134,7 +134,7 @@
     LONGS_EQUAL_TEXT(0, Ordinary.Failed, Found.c_str());
     CHECK_TEXT(Ordinary.inTimeShare() >= 0.97, Found.c_str());
     LONGS_EQUAL_TEXT(1, Scenario.outcome("crashing").Failed, Found.c_str());
-    LONGS_EQUAL(0, Scenario.World.doubledRuns());
+    LONGS_EQUAL(0, Scenario.World.overlappingRuns());
   }
 }
 
@@ -163,18 +163,18 @@
       Scenario.run(20ms);
     }
     Scenario.run(10s);
-    CrashToll Toll = Scenario.World.crashToll();
+    CrashStats Toll = Scenario.World.crashStats();
     RouteOutcome Ordinary = Scenario.outcome("ordinary");
     InTime[I] = Ordinary.inTimeShare();
     std::string Found = fmt::format(
         "{}: {} crashes, {} under one task; in time {}, late {}, refused {}, "
         "failed {} of {}",
-        Row.Name, Toll.Crashes, Toll.MostUnderOneTask, Ordinary.InTime,
+        Row.Name, Toll.Crashes, Toll.MaxCrashesOfOneTask, Ordinary.InTime,
         Ordinary.Late, Ordinary.Refused, Ordinary.Failed, Ordinary.Asked);
-    CHECK_TEXT(Toll.MostUnderOneTask <= Row.MaxCrashes, Found.c_str());
+    CHECK_TEXT(Toll.MaxCrashesOfOneTask <= Row.MaxCrashes, Found.c_str());
     CHECK_TEXT(InTime[I] >= Row.MinInTimeShare, Found.c_str());
     CHECK_TEXT(!Row.CountsCrashes || Ordinary.Failed == 0, Found.c_str());
-    LONGS_EQUAL(0, Scenario.World.doubledRuns());
+    LONGS_EQUAL(0, Scenario.World.overlappingRuns());
     CHECK_TEXT(I == 0 || InTime[0] > InTime[1], Found.c_str());
   }
 }
--- a/tests/entry/disconnected_callers_test.cpp
+++ b/tests/entry/disconnected_callers_test.cpp
@@ -48,11 +48,11 @@
         Options.EntryHandOver = 2ms;
       LeasedWorld World(Options);
       auto Submit = [&](std::size_t Entry) {
-        return World.handIn(Entry, longJob(), {LongTaskDuration},
-                            [](const auto &) {});
+        return World.submitJob(Entry, longJob(), {LongTaskDuration},
+                               [](const auto &) {});
       };
       if (Row.SubmittedBefore) {
-        World.entry(0).hangUp(Submit(0));
+        World.entry(0).disconnect(Submit(0));
         World.world().run(ResubmitAfter);
       }
       for (std::size_t I = 0; Row.DispatchLost && I < World.agents(); ++I)
@@ -63,14 +63,14 @@
       World.world().run(Row.FreezeAfter);
       World.world().freeze("entry-0");
       World.world().run(CallerWaits);
-      World.entry(0).hangUp(First);
-      World.world().healAll();
+      World.entry(0).disconnect(First);
+      World.world().reconnectAll();
       World.world().run(ResubmitAfter);
       Submit(1);
       World.world().run(500ms);
       World.world().thaw("entry-0", ThawOrder::TimersLast);
       World.world().run(2 * LongTaskDuration);
       std::string Case = fmt::format("{}, seed {}", Row.Name, Seed);
-      LONGS_EQUAL_TEXT(0, World.doubledRuns(), Case.c_str());
+      LONGS_EQUAL_TEXT(0, World.overlappingRuns(), Case.c_str());
     }
 }
--- a/tests/entry/lease_fleet_test.cpp
+++ b/tests/entry/lease_fleet_test.cpp
@@ -37,7 +37,7 @@
 TEST(LeaseFleetTest, WideShortJobsAreInTimeAtNormalLoad) {
   for (std::uint64_t Seed : {1, 2}) {
     MixedOutcome With = runFleet(NormalLoadFactor, Seed, true);
-    LONGS_EQUAL(0, With.DoubledRuns);
+    LONGS_EQUAL(0, With.OverlappingRuns);
     CHECK(With.Routes["wide"].inTimeShare() > 0.99);
     CHECK(refusedShare(With) < 0.07);
     MixedOutcome Without = runFleet(NormalLoadFactor, Seed, false);
--- a/tests/entry/lease_fuzz_test.cpp
+++ b/tests/entry/lease_fuzz_test.cpp
@@ -132,7 +132,7 @@
       Row.Plant(Options);
       LeaseScenario Scenario(Options);
       Scenario.run();
-      if (Scenario.doubledRuns() > 0)
+      if (Scenario.overlappingRuns() > 0)
         FoundAt = Seed;
     }
     CHECK_TEXT(FoundAt > 0, Row.Name);
--- a/tests/entry/lease_overload_test.cpp
+++ b/tests/entry/lease_overload_test.cpp
@@ -30,7 +30,7 @@
     Options.Factor = Row.Factor;
     Options.Faults = Row.Faults;
     MixedOutcome Outcome = playMixed(Options);
-    LONGS_EQUAL_TEXT(0, Outcome.DoubledRuns, Row.Name);
+    LONGS_EQUAL_TEXT(0, Outcome.OverlappingRuns, Row.Name);
     for (const auto &[Route, Seen] : Outcome.Routes) {
       CHECK_TEXT(Seen.Asked > 50, Row.Name);
       LONGS_EQUAL_TEXT(Seen.Asked,
--- a/tests/entry/lease_scenario.cpp
+++ b/tests/entry/lease_scenario.cpp
@@ -35,7 +35,7 @@
   Options.World.Entries = 2 + Seed % 2;
   Options.World.Agents = 2 + Seed % 3;
   Options.World.EntryHandOver = 2ms;
-  Options.Callers.MostTries = 30;
+  Options.Callers.MaxTries = 30;
   return Options;
 }
 
@@ -143,7 +143,7 @@
     this->World.world().cutOneWay(Direction.first, Direction.second);
   this->World.world().after(Length, [this, Direction] {
     if (--this->CutCounts[Direction] == 0)
-      this->World.world().mendOneWay(Direction.first, Direction.second);
+      this->World.world().restoreOneWay(Direction.first, Direction.second);
   });
 }
 
@@ -204,13 +204,13 @@
 void LeaseScenario::injectNetworkFaults() {
   NetworkFaults Faults;
   Faults.LossPermille = static_cast<std::uint32_t>(this->Random() % 200);
-  Faults.DoublePermille = static_cast<std::uint32_t>(this->Random() % 300);
+  Faults.DuplicatePermille = static_cast<std::uint32_t>(this->Random() % 300);
   Faults.Jitter = this->draw(1ms, 300ms);
   std::chrono::milliseconds Length = this->draw(200ms, 4s);
   this->logFault(
       fmt::format("{} lost and {} duplicated of 1000, {} ms of jitter for "
                   "{} ms",
-                  Faults.LossPermille, Faults.DoublePermille,
+                  Faults.LossPermille, Faults.DuplicatePermille,
                   Faults.Jitter.count() / 1000, Length.count()));
   this->World.world().setFaults(Faults);
   this->World.world().after(Length,
@@ -314,9 +314,9 @@
 
 std::string LeaseScenario::findings() const {
   std::string Found;
-  if (this->World.doubledRuns() > 0)
+  if (this->World.overlappingRuns() > 0)
     Found += "overlapping runs of a task: " +
-             this->World.runs().describeDoubled(this->World.begun());
+             this->World.runs().describeOverlapping(this->World.begun());
   for (std::size_t E = 0; E < this->World.entries(); ++E) {
     const LeasedEntry &Entry = this->World.entry(E);
     if (Entry.unanswered() > 0)
@@ -325,7 +325,7 @@
     if (Entry.answeredTwice() > 0)
       Found += fmt::format("{} answered {} submissions twice\n", Entry.name(),
                            Entry.answeredTwice());
-    for (HandIn Which : Entry.notRun())
+    for (SubmissionId Which : Entry.notRun())
       if (this->World.runs().hasBegun(Which))
         Found += fmt::format("{} answered that {} has not run, but it has\n",
                              Entry.name(), Which);
--- a/tests/entry/lease_scenario.h
+++ b/tests/entry/lease_scenario.h
@@ -48,7 +48,9 @@
   /// Number of jobs that were given up as crashing, in scenarios with worker
   /// crashes.
   std::uint32_t givenUpAsCrashing() const;
-  std::uint32_t doubledRuns() const { return this->World.doubledRuns(); }
+  std::uint32_t overlappingRuns() const {
+    return this->World.overlappingRuns();
+  }
 
 private:
   using Link = std::pair<std::string, std::string>;
--- a/tests/entry/overlapping_runs_test.cpp
+++ b/tests/entry/overlapping_runs_test.cpp
@@ -63,7 +63,7 @@
       World.world().run(ResubmitAfter);
       World.submit(1, longJob(), {LongTaskDuration}, 2 * LongTaskDuration);
       World.world().run(2 * LongTaskDuration);
-      LONGS_EQUAL_TEXT(0, World.doubledRuns(), Case.c_str());
+      LONGS_EQUAL_TEXT(0, World.overlappingRuns(), Case.c_str());
       LONGS_EQUAL_TEXT(1, World.outcomes().at("long").InTime, Case.c_str());
     }
 }
--- a/tests/ledger/at_most_once_fuzz_test.cpp
+++ b/tests/ledger/at_most_once_fuzz_test.cpp
@@ -47,12 +47,12 @@
     return;
   case 5:
     Faults.LossPermille = Random() % 200;
-    Faults.DoublePermille = Random() % 300;
+    Faults.DuplicatePermille = Random() % 300;
     Faults.Jitter = std::chrono::milliseconds(1 + Random() % 500);
     Cluster.World.setFaults(Faults);
     return;
   default:
-    Cluster.World.healAll();
+    Cluster.World.reconnectAll();
     return;
   }
 }
@@ -94,7 +94,7 @@
       causeFault(Cluster, Random);
     Cluster.run(std::chrono::milliseconds(Random() % 400));
   }
-  Cluster.World.healAll();
+  Cluster.World.reconnectAll();
   for (std::size_t I = 1; I <= 4; ++I) {
     Cluster.World.thaw(VirtualCluster::nodeName('a', I));
     if (I <= 3)
--- a/tests/ledger/at_most_once_test.cpp
+++ b/tests/ledger/at_most_once_test.cpp
@@ -111,7 +111,7 @@
 
 void duplicateAllMessages(VirtualCluster &Cluster) {
   NetworkFaults Faults;
-  Faults.DoublePermille = 1000;
+  Faults.DuplicatePermille = 1000;
   Faults.Jitter = 300ms;
   Cluster.World.setFaults(Faults);
   for (int I = 0; I < 5; ++I)
