--- a/emulator/fake_upstream.h
+++ b/emulator/fake_upstream.h
@@ -1,13 +1,13 @@
-//===- emulator/fake_upstream.h - A stand-in for a back end -------*- C++
-//-*-===//
+//===- emulator/fake_upstream.h - Simulated upstream ------------*- C++ -*-===//
 ///
 /// \file
-/// An HTTP server with set service times, stragglers and failures. It writes
-/// a line to a file for each task that starts, before the task runs, so that
-/// a double start is seen from outside.
+/// An HTTP server with configured service times, stragglers and failures. It
+/// writes a line to a file for each task before the task runs, so that an
+/// observer can detect tasks that were started twice.
 ///
-/// A task's payload may set its own behaviour: "sleep=MS", "fail" or "echo",
-/// separated by spaces; the rest of the payload is the answer.
+/// A task's payload can set its behaviour by words separated by spaces:
+/// "sleep=MS" sets the service time and "fail" makes the task fail. All other
+/// words are the answer.
 ///
 //===----------------------------------------------------------------------===//
 #ifndef YARDWHEEL_EMULATOR_FAKE_UPSTREAM_H
@@ -30,13 +30,13 @@
 struct FakeUpstreamOptions {
   std::string Name;
   std::string Listen;
-  /// Tasks take a time between these, unless their payload says otherwise.
+  /// Range of the service times, unless a payload sets its own.
   std::chrono::milliseconds ShortestService{50};
   std::chrono::milliseconds LongestService{50};
   std::uint32_t StragglerPercent = 0;
   std::uint32_t StragglerFactor = 10;
   std::uint32_t FailPercent = 0;
-  /// Where each start is written; empty writes nothing.
+  /// Path of the file with a line for each start; empty writes none.
   std::string StartLog;
   std::uint64_t Seed = 1;
 };
--- a/emulator/fake_upstream_main.cpp
+++ b/emulator/fake_upstream_main.cpp
@@ -1,5 +1,4 @@
-//===- emulator/fake_upstream_main.cpp - The fake upstream as a process
-//-------===//
+//===- emulator/fake_upstream_main.cpp - Fake upstream program ------------===//
 
 #include "core/logger.h"
 #include "emulator/fake_upstream.h"
@@ -7,19 +6,22 @@
 #include <csignal>
 #include <gflags/gflags.h>
 
-DEFINE_string(name, "upstream", "The name written beside each start.");
+DEFINE_string(name, "upstream",
+              "Name of the upstream in the lines of --start_log.");
 DEFINE_string(listen, "127.0.0.1:7100", "IP number and port.");
-DEFINE_int32(shortest_ms, 50, "Shortest service time.");
-DEFINE_int32(longest_ms, 50, "Longest service time.");
-DEFINE_int32(straggler_percent, 0, "Tasks that take longer.");
-DEFINE_int32(straggler_factor, 10, "How many times longer they take.");
-DEFINE_int32(fail_percent, 0, "Tasks that fail.");
-DEFINE_string(start_log, "", "A file that gets a line for each start.");
-DEFINE_uint64(seed, 1, "Seed of the randomness.");
+DEFINE_int32(shortest_ms, 50, "Shortest service time in milliseconds.");
+DEFINE_int32(longest_ms, 50, "Longest service time in milliseconds.");
+DEFINE_int32(straggler_percent, 0, "Percentage of tasks that take longer.");
+DEFINE_int32(straggler_factor, 10,
+             "Factor on the service time of these tasks.");
+DEFINE_int32(fail_percent, 0, "Percentage of tasks that fail.");
+DEFINE_string(start_log, "",
+              "Path of a file that gets a line for each task start.");
+DEFINE_uint64(seed, 1, "Seed of the random numbers.");
 
 int main(int Count, char **Arguments) {
   using namespace yardwheel;
-  gflags::SetUsageMessage("A stand-in for an upstream.");
+  gflags::SetUsageMessage("A simulated upstream.");
   gflags::ParseCommandLineFlags(&Count, &Arguments, true);
   sigset_t Signals;
   sigemptyset(&Signals);
--- a/emulator/leased_agent.cpp
+++ b/emulator/leased_agent.cpp
@@ -4,18 +4,20 @@
 
 namespace {
 
-/// One way between an agent and its worker, which share a host.
+/// One-way delay between an agent and its worker, which share a host.
 constexpr std::chrono::microseconds WorkerDelay{200};
 constexpr std::chrono::milliseconds AnnounceInterval{1000};
-/// Before a call counts as unanswered, beyond the time that it may wait.
+/// Time after which a call counts as unanswered; for a hold call, the time in
+/// addition to its wait.
 constexpr std::chrono::milliseconds CallTimeout{50};
 constexpr std::chrono::milliseconds HoldSlack{80};
-/// When a late call is carried out.
+/// Range of the delay with which a late call is executed.
 constexpr std::chrono::milliseconds MinLateDelay{2000};
 constexpr std::chrono::milliseconds MaxLateDelay{12000};
 constexpr std::uint32_t WholePermille = 1000;
-/// Between the incarnations of two lives: more than the workers' lives that
-/// one sees, each of which takes a number.
+/// Difference between the incarnation numbers of two consecutive processes of
+/// an agent. Every worker restart that a process sees takes a number too, so
+/// the difference is larger than their count.
 constexpr std::uint64_t LifeStep = 1000;
 
 } // namespace
@@ -35,7 +37,7 @@
 }
 
 void LeasedAgent::restart() {
-  // Its worker is heard of with the next of its announcements.
+  // The agent learns of its worker from the next announcement.
   this->beginLife();
 }
 
@@ -112,7 +114,7 @@
 LeasedAgent::Answer LeasedAgent::replyToThisLife(const Answer &Take) {
   return [this, Take, Life = this->Life](const WorkerReply &Reply) {
     this->World.after(WorkerDelay, [this, Take, Life, Reply] {
-      // Connections end with the life that made them.
+      // Connections end with the process that opened them.
       if (Life == this->Life)
         this->World.runOn(this->Name, [Take, Reply] { Take(Reply); });
     });
--- a/emulator/leased_agent.h
+++ b/emulator/leased_agent.h
@@ -1,8 +1,9 @@
 //===- emulator/leased_agent.h - An agent in virtual time -------*- C++ -*-===//
 ///
 /// \file
-/// The real keeper of an agent and the worker beside it. The worker outlives
-/// the agent's process; calls to it may be lost, or carried out seconds late.
+/// The lease keeper of an agent, as in production, and the worker beside it.
+/// The worker outlives the agent's process; calls to it may be lost, or
+/// executed seconds late.
 ///
 //===----------------------------------------------------------------------===//
 #ifndef YARDWHEEL_EMULATOR_LEASED_AGENT_H
@@ -17,19 +18,19 @@
 
 namespace yardwheel {
 
-/// What becomes of an agent's calls to its worker, in thousandths.
+/// Probabilities of faults in an agent's calls to its worker, in thousandths.
 struct WorkerCallFaults {
-  /// They do not reach the worker.
+  /// The call does not reach the worker.
   std::uint32_t LostPermille = 0;
-  /// They are carried out, and their replies are lost.
+  /// The call is executed, and its reply is lost.
   std::uint32_t UnansweredPermille = 0;
-  /// They stay without a reply, and are carried out seconds later.
+  /// The call gets no reply, and is executed seconds later.
   std::uint32_t LatePermille = 0;
 };
 
 struct LeasedAgentOptions {
   std::string Pool;
-  /// Between the ticks of the process.
+  /// Interval between the ticks of the process.
   std::chrono::milliseconds Tick{20};
   KeeperOptions Keeper;
   VirtualWorkerOptions Worker;
@@ -42,14 +43,14 @@
               const LeasedAgentOptions &Options);
 
   const std::string &name() const { return this->Name; }
-  /// What control tells entries of it.
+  /// Returns the agent's member record, as control sends it to entries.
   peer::Member member() const;
-  /// Begins another life of the process, which was killed. The worker has run
-  /// on, and announces itself again within a second.
+  /// Starts a new incarnation of the process after a kill. The worker has kept
+  /// running, and announces itself again within a second.
   void restart();
   void setCallFaults(WorkerCallFaults New) { this->Faults = New; }
-  /// Ends the worker's life; another begins after \p RestartAfter. The last
-  /// announcement of the old one arrives once more after \p Late.
+  /// Crashes the worker; a new incarnation starts after \p RestartAfter. The
+  /// last announcement of the old one arrives once more after \p Late.
   void crashWorker(std::chrono::milliseconds RestartAfter,
                    std::chrono::milliseconds Late);
 
@@ -65,15 +66,16 @@
   using Answer = VirtualWorker::Answer;
 
   void beginLife();
-  /// The worker tells this agent of itself, now and each second.
+  /// Announces the worker to this agent, now and every second.
   void announceWorker();
   CallFate drawCallFate();
-  /// Plays a call: \p CarryOut runs at the worker, its answer reaches the
-  /// agent, or after \p Timeout none.
+  /// Simulates a call: runs \p CarryOut at the worker and passes its reply to
+  /// \p Take, or an empty reply after \p Timeout if a fault was drawn.
   void call(std::chrono::milliseconds Timeout,
             const std::function<void(const Answer &Reply)> &CarryOut,
             const Answer &Take);
-  /// Hands a reply to the life of this process that made the call.
+  /// Returns a callback that passes a reply to \p Take only in the incarnation
+  /// of this process that made the call.
   Answer replyToThisLife(const Answer &Take);
 
   VirtualWorld &World;
@@ -81,7 +83,7 @@
   LeasedAgentOptions Options;
   std::mt19937_64 Random;
   VirtualWorker Worker;
-  /// The life of the worker that the agent speaks to.
+  /// The incarnation of the worker that the agent is attached to.
   WorkerIncarnation Attached;
   std::uint64_t Life = 0;
   WorkerCallFaults Faults;
--- a/emulator/leased_entry.cpp
+++ b/emulator/leased_entry.cpp
@@ -6,11 +6,12 @@
 
 namespace {
 
-/// Without an idle moment for this long, the process is behind.
+/// A process that was not idle for this long counts as behind.
 constexpr std::chrono::milliseconds BehindAfter{100};
-/// What a caller is told whose request is refused as read late.
+/// The retry delay in the answer to a request that was read too late.
 constexpr std::chrono::milliseconds RefusalRetry{300};
-/// Far above the placements of one life.
+/// Range of order numbers of one incarnation; far above the number of its
+/// placements.
 constexpr std::uint64_t OrdersOfOneLife = 1000000;
 
 } // namespace
@@ -127,7 +128,7 @@
   bool AtOnce =
       this->Options.HandOver.count() == 0 || this->World.random()() % 2 == 0;
   TimePoint At = AtOnce ? Now : Now + this->Options.HandOver;
-  // One does not overtake another.
+  // Requests keep their order.
   At = std::max(At, this->LastHandOver);
   this->LastHandOver = At;
   if (At == Now) {
@@ -152,7 +153,7 @@
       auto Found = this->Unanswered.find(Which);
       if (Found == this->Unanswered.end())
         return;
-      // It is answered at once, and then off the list.
+      // The coordinator answers immediately, which erases the entry found.
       std::string Job = Found->second;
       this->Coordinator->withdraw(Job, Which, "the caller has gone",
                                   this->World.now());
@@ -173,7 +174,7 @@
   auto Found = this->Callers.find(Which);
   if (Found == this->Callers.end())
     return;
-  // Only what a caller hears binds.
+  // An answer counts only if a caller receives it.
   if (Answer.End == LeasedEnd::NotRun)
     this->NotRun.insert(Which);
   Listener Hear = std::move(Found->second);
--- a/emulator/leased_entry.h
+++ b/emulator/leased_entry.h
@@ -1,8 +1,9 @@
 //===- emulator/leased_entry.h - An entry in virtual time -------*- C++ -*-===//
 ///
 /// \file
-/// The real coordinator of an entry behind a gate that takes callers' requests
-/// as the product's does: a request is read, and then handed on to the loop.
+/// The lease coordinator of an entry, as in production, behind a gate that
+/// accepts callers' requests the same way as the real one: one thread reads a
+/// request and hands it over to the event loop.
 ///
 //===----------------------------------------------------------------------===//
 #ifndef YARDWHEEL_EMULATOR_LEASED_ENTRY_H
@@ -24,19 +25,19 @@
 
 struct LeasedEntryOptions {
   CoordinatorOptions Coordinator;
-  /// Between the ticks of the process.
+  /// Interval between the ticks of the process.
   std::chrono::milliseconds Tick{20};
-  /// Processor time for each message that it sends or receives, callers'
-  /// requests and answers included. 0: messages are free.
+  /// Processor time for each message that the entry sends or receives,
+  /// including callers' requests and answers. 0: messages cost nothing.
   Duration MessageCost{0};
-  /// Between a request's being read and its hand-over to the loop, for every
-  /// other request at random. The process may stand still in between.
+  /// Delay between reading a request and handing it over to the loop, for a
+  /// random half of the requests. The process may stall in between.
   Duration HandOver{0};
 };
 
 class LeasedEntry final : public LeasedAnswerSink, public PeerSink {
 public:
-  /// Hears the answer, or that the connection broke without one.
+  /// Receives the answer, or no value if the connection broke without one.
   using Listener =
       std::function<void(const std::optional<LeasedAnswer> &Answer)>;
 
@@ -47,11 +48,11 @@
   void meet(const peer::Member &Agent);
   void submitJob(SubmissionId Which, const LeasedJobRequest &Job,
                  Listener Hear);
-  /// The caller closes its connection, and hears nothing more.
+  /// Closes the caller's connection; it receives nothing more.
   void disconnect(SubmissionId Which);
-  /// Ends the process, and all connections of callers with it.
+  /// Kills the process, which closes all connections of callers.
   void kill();
-  /// Begins another life of the process, which was killed.
+  /// Starts a new incarnation of the process after a kill.
   void restart();
 
   void onLeasedAnswer(LeaseTicket Ticket, const LeasedAnswer &Answer) override;
@@ -62,23 +63,23 @@
     return this->Coordinator->counters();
   }
   Duration busy() const { return this->Processor.busy(); }
-  /// Hand-ins that were read and have not been answered.
+  /// Returns the number of submissions that were read and not answered yet.
   std::size_t unanswered() const { return this->Unanswered.size(); }
-  /// Answers to hand-ins that had been answered before.
+  /// Counts the answers to submissions that had already been answered.
   std::uint32_t answeredTwice() const { return this->AnsweredTwice; }
   const std::set<SubmissionId> &notRun() const { return this->NotRun; }
 
 private:
   void beginLife();
-  /// Runs \p Action on the present life, when the processor is free.
+  /// Runs \p Action on the current incarnation, when the processor is free.
   void runSoon(std::function<void()> Action);
   void receive(const PeerRef &From, const peer::Message &Message);
   void tick();
-  /// Until when this process was behind, as its loop sees it.
+  /// Returns when this process was last behind, as its loop sees it.
   TimePoint lastBehind() const;
-  /// Hands something that another thread has read on to the loop.
+  /// Hands over to the loop what another thread has read.
   void handOver(const std::function<void()> &Action);
-  /// Reads a request, as another thread than the loop does.
+  /// Reads a request, in the role of a thread other than the loop's.
   void read(SubmissionId Which, const LeasedJobRequest &Job);
   void answer(SubmissionId Which, const LeasedAnswer &Answer);
 
@@ -92,11 +93,11 @@
   TimePoint LastIdle;
   TimePoint LastBehind = TimePoint::min();
   TimePoint LastHandOver = TimePoint::min();
-  /// Callers whose connections are open.
+  /// Callers with an open connection.
   std::map<SubmissionId, Listener> Callers;
-  /// What the coordinator owes an answer for, and its job.
+  /// Submissions that the coordinator has to answer, with their job ids.
   std::map<SubmissionId, std::string> Unanswered;
-  /// Jobs that have been taken.
+  /// Ids of the jobs that were accepted.
   std::set<std::string> Taken;
   std::set<SubmissionId> NotRun;
   std::uint32_t AnsweredTwice = 0;
--- a/emulator/leased_world.cpp
+++ b/emulator/leased_world.cpp
@@ -8,7 +8,8 @@
 namespace {
 
 const std::string PoolName = "pool";
-/// After an agent's restart, until control has told entries of it.
+/// Upper limit of the time until control has told entries of an agent's
+/// restart.
 constexpr std::chrono::milliseconds MaxMemberUpdateDelay{1000};
 
 LeasedEntryOptions entryOptions(const LeasedWorldOptions &Options,
--- a/emulator/leased_world.h
+++ b/emulator/leased_world.h
@@ -1,10 +1,10 @@
 //===- emulator/leased_world.h - Leased tasks in virtual time ---*- C++ -*-===//
 ///
 /// \file
-/// Entries, agents and workers of the leased path in virtual time: the real
-/// coordinators and keepers with their decisions, and workers that run each
-/// task for as long as its spec says, under a lease. The load is the caller's;
-/// the same seed gives the same run.
+/// Entries, agents and workers of the leased path in virtual time: coordinators
+/// and lease keepers as in production, and simulated workers that run each task
+/// for the time in its spec, under a lease. The user of this class supplies the
+/// load; the same seed gives the same run.
 ///
 //===----------------------------------------------------------------------===//
 #ifndef YARDWHEEL_EMULATOR_LEASED_WORLD_H
@@ -26,36 +26,37 @@
   std::uint64_t Seed = 1;
   std::size_t Entries = 3;
   std::size_t Agents = 9;
-  /// Of the workers in turn, in thousandths of a core.
+  /// Capacities of the workers, assigned in turn, in thousandths of a core.
   std::vector<std::uint32_t> RoomsMilli = {64000};
   CoordinatorOptions Coordinator;
   KeeperOptions Keeper;
-  /// Between the ticks of each process.
+  /// Interval between the ticks of each process.
   std::chrono::milliseconds Tick{20};
   /// Processor time of an entry for each message that it sends or receives,
-  /// callers' requests and answers included, at the share of a core that it
-  /// has. 0: messages are free.
+  /// including callers' requests and answers, at the entry's share of a core.
+  /// 0: messages cost nothing.
   Duration EntryMessageCost{0};
-  /// Between a request's being read by an entry and its hand-over to the loop.
+  /// Delay between reading a request at an entry and handing it over to the
+  /// loop, see LeasedEntryOptions.
   Duration EntryHandOver{0};
-  /// Before the load begins: each entry asks each agent once.
+  /// Time before the load begins, in which each entry asks each agent once.
   std::chrono::milliseconds WarmUp{200};
-  /// A worker that has crashed is back after this long, as another life.
+  /// Time from a worker's crash until it starts again, as a new incarnation.
   std::chrono::milliseconds RestartAfter{2500};
-  /// Each life of a worker has the id of the first.
+  /// All incarnations of a worker have the same id.
   bool WorkersKeepId = false;
 };
 
-/// What serving the load has cost the entries.
+/// The work of the entries to serve the load.
 struct EntryEffort {
   std::uint64_t TasksSent = 0;
-  /// Of these, the ones that agents gave back without starting them.
+  /// Tasks among these that agents refused without starting them.
   std::uint64_t TasksRefused = 0;
-  /// Share of its processor's time that the busiest entry has used.
+  /// Share of its processor time that the busiest entry used, 0 to 1.
   double MaxBusyShare = 0;
 };
 
-/// Jobs of one route, by how they ended.
+/// Numbers of the jobs of one route, by outcome.
 struct RouteOutcome {
   std::uint32_t Asked = 0;
   std::uint32_t InTime = 0;
@@ -80,20 +81,22 @@
   }
   LeasedAgent &agent(std::size_t Which) { return *this->Agents.at(Which); }
 
-  /// Hands a job in at an entry. Its tasks run for as long as \p Lengths say,
-  /// whatever the job declares, and its caller counts it as late after this.
+  /// Submits a job to an entry and counts its outcome. Its tasks run for the
+  /// times in \p Lengths, whatever the job declares. The caller counts an
+  /// answer as late after \p LateAfter.
   void submit(std::size_t Entry, LeasedJobRequest Job,
               const std::vector<std::chrono::milliseconds> &Lengths,
               std::chrono::milliseconds LateAfter);
-  /// The same for a caller that hears of the end himself.
+  /// Submits a job for a caller that handles the answer itself through \p Hear.
   SubmissionId submitJob(std::size_t Entry, LeasedJobRequest Job,
                          const std::vector<std::chrono::milliseconds> &Lengths,
                          LeasedEntry::Listener Hear);
-  /// The number that the next hand-in gets.
+  /// Returns the id that the next submission gets.
   SubmissionId nextSubmission() const { return this->LastSubmission + 1; }
-  /// Begins another life of an entry that was killed; it is told of all agents.
+  /// Starts a new incarnation of a killed entry and announces all agents to it.
   void restartEntry(std::size_t Which);
-  /// The same for an agent; entries are told of it some time later.
+  /// Starts a new incarnation of a killed agent; entries learn of it after a
+  /// random delay.
   void restartAgent(std::size_t Which);
 
   const std::map<std::string, RouteOutcome> &outcomes() const {
@@ -103,7 +106,7 @@
   const RunRegister &runs() const { return this->Runs; }
   std::uint32_t overlappingRuns() const { return this->Runs.doubled(); }
   CrashStats crashStats() const { return this->Runs.crashStats(); }
-  /// When the load could begin.
+  /// Returns the time at which the warm-up was over.
   TimePoint begun() const { return this->Begun; }
 
 private:
--- a/emulator/load_generator.cpp
+++ b/emulator/load_generator.cpp
@@ -12,7 +12,7 @@
 
 constexpr long HttpOk = 200;
 
-/// One caller's share of the load.
+/// Runs the requests of one caller.
 LoadResult runCaller(const LoadOptions &Options, std::uint32_t Number) {
   LoadResult Result;
   HttpClient Client(Options.Timeout);
--- a/emulator/load_main.cpp
+++ b/emulator/load_main.cpp
@@ -6,12 +6,12 @@
 #include <gflags/gflags.h>
 #include <sstream>
 
-DEFINE_string(urls, "", "Comma-separated URLs that take a POST.");
+DEFINE_string(urls, "", "Comma-separated URLs that accept a POST.");
 DEFINE_string(body, "{\"tasks\":[{\"payload\":\"sleep=50 x\"}]}",
               "The body of every request.");
 DEFINE_uint32(callers, 1, "Threads, each with one connection.");
 DEFINE_uint32(requests, 100, "Requests of each caller.");
-DEFINE_string(label, "load", "What the printed row is called.");
+DEFINE_string(label, "load", "Label of the printed row.");
 
 int main(int Count, char **Arguments) {
   using namespace yardwheel;
--- a/emulator/memory_log_storage.h
+++ b/emulator/memory_log_storage.h
@@ -1,8 +1,8 @@
-//===- emulator/memory_log_storage.h - A disk that can lose -----*- C++ -*-===//
+//===- emulator/memory_log_storage.h - Simulated disk -----------*- C++ -*-===//
 ///
 /// \file
-/// A stand-in for a replica's disk: what is not synced is lost in a crash,
-/// and the disk can be full or be lost whole.
+/// In-memory storage in place of a replica's disk: a crash loses what was not
+/// synced, and the disk can be full or be lost entirely.
 ///
 //===----------------------------------------------------------------------===//
 #ifndef YARDWHEEL_EMULATOR_MEMORY_LOG_STORAGE_H
@@ -27,7 +27,7 @@
                     const std::vector<peer::LogEntry> &Rest) override;
   void sync() override;
 
-  /// The process dies: what was not synced is gone.
+  /// Simulates a crash of the process: drops what was not synced.
   void crash() { this->Written = this->Durable; }
   void setFull(bool NewFull) { this->Full = NewFull; }
   std::uint64_t syncs() const { return this->Syncs; }
--- a/emulator/mixed_load.cpp
+++ b/emulator/mixed_load.cpp
@@ -9,16 +9,17 @@
 namespace {
 
 constexpr double CpuSpread = 0.2;
-/// A caller counts a job as late after this times its longest task and some.
+/// A caller counts a job as late after this factor times its longest task plus
+/// Allowance.
 constexpr double Stretch = 1.6;
 constexpr std::chrono::milliseconds Allowance{60};
 constexpr std::chrono::milliseconds Deadline{6000};
-/// Lets what was taken last end.
+/// Time after the load, in which the last accepted jobs end.
 constexpr std::chrono::milliseconds Drained{7000};
-/// What a late answer is worth to its caller, against one in time.
+/// The value of a late answer, relative to one in time.
 constexpr double LateCredit = 0.2;
 
-/// Draws around a mean of 1.
+/// A log-normal distribution with a mean of 1.
 class Spread {
 public:
   explicit Spread(double Deviation)
@@ -64,7 +65,7 @@
   return Drawn;
 }
 
-/// Jobs of a kind that come at a moment, against its usual rate.
+/// Returns the factor on the usual rate of a kind at a time of the load.
 double burstFactor(const MixedLoadOptions &Options, const JobKind &Kind,
                    std::chrono::duration<double> At) {
   double Factor = 1;
@@ -76,7 +77,7 @@
   return Factor;
 }
 
-/// Divides the jobs among the entries.
+/// Distributes the jobs over the entries.
 class EntryChoice {
 public:
   EntryChoice(const MixedLoadOptions &Options, std::mt19937_64 &Random)
@@ -124,8 +125,9 @@
   Options.World.Entries = 51;
   Options.World.Agents = 240;
   Options.World.RoomsMilli = {16000, 16000, 24000};
-  // 60 us of a core for a message, as an entry of a small deployment uses
-  // 0.47 core-ms for a job and its eight messages, at 0.12 of a core.
+  // An entry of a small deployment uses 0.47 core-ms for a job and its eight
+  // messages, so a message takes 60 us of a core; at 0.12 of a core that is
+  // 500 us.
   Options.World.EntryMessageCost = std::chrono::microseconds(500);
   Options.World.WarmUp = std::chrono::milliseconds(2000);
   Options.Lasts = std::chrono::milliseconds(6000);
--- a/emulator/mixed_load.h
+++ b/emulator/mixed_load.h
@@ -1,9 +1,9 @@
-//===- emulator/mixed_load.h - Kinds of job in virtual time -----*- C++ -*-===//
+//===- emulator/mixed_load.h - Load of several kinds of job -----*- C++ -*-===//
 ///
 /// \file
-/// A load of several kinds of job for the leased path in virtual time: each
-/// kind has its rate, width, length and what it is worth; lengths are uneven
-/// and declared ones are off. The same seed gives the same load.
+/// A load of several kinds of job for the leased path in virtual time. Each
+/// kind has a rate, a width and a length. Task lengths vary, and declared
+/// lengths deviate from the real ones. The same seed gives the same load.
 ///
 //===----------------------------------------------------------------------===//
 #ifndef YARDWHEEL_EMULATOR_MIXED_LOAD_H
@@ -26,18 +26,18 @@
   std::chrono::milliseconds Length;
 };
 
-/// Wide short jobs beside narrow longer ones and some that last nearly a
-/// second. Each kind is as much worth as the others in all; together they take
-/// nine tenths of the room of nine workers.
+/// Wide jobs of short tasks, narrow jobs of longer ones, and some jobs that
+/// last nearly a second. All kinds together have the same weight each; their
+/// load is nine tenths of the capacity of nine workers.
 const std::vector<JobKind> &mixedKinds();
 
-/// The same kinds, at the rates that keep three fifths of the room of 240
-/// workers busy.
+/// The same kinds, at rates that use three fifths of the capacity of 240
+/// workers.
 const std::vector<JobKind> &fleetKinds();
 
-/// A time of the load in which more jobs come.
+/// A period of the load in which more jobs arrive.
 struct LoadBurst {
-  /// Of one kind; of all kinds if empty.
+  /// The kind of job that it concerns; all kinds if empty.
   std::string Route;
   std::chrono::milliseconds Begins{};
   std::chrono::milliseconds Lasts{};
@@ -47,27 +47,28 @@
 struct MixedLoadOptions {
   LeasedWorldOptions World;
   std::vector<JobKind> Kinds = mixedKinds();
-  /// Rates, as a multiple of those of the kinds.
+  /// Factor by which the rates of the kinds are multiplied.
   double Factor = 1;
   std::vector<LoadBurst> Bursts;
   /// Mean processor time that a task needs, in thousandths of a core.
   std::uint32_t MeanTaskCpu = 6200;
-  /// Callers, each of which hands all its jobs in at one entry, drawn at
-  /// random; 0 lets each job draw its own. With few of
-  /// them some entries get several times the mean load and others none.
+  /// Number of callers; each submits all its jobs to one random entry. 0 draws
+  /// an entry for each job. With few callers some entries get several times the
+  /// mean load and others none.
   std::size_t Callers = 0;
   std::chrono::milliseconds Lasts{12000};
-  /// Spread of widths and mean lengths from job to job, of lengths within a
-  /// job, and of what is declared: each the deviation of the logarithm.
+  /// Spread of widths and mean lengths between jobs, of lengths within a job,
+  /// and of declared lengths: each the standard deviation of the logarithm.
   double JobSpread = 0.4;
   double TaskSpread = 0.15;
   double DeclaredSpread = 0.4;
-  /// Of the messages between entries and agents.
+  /// Faults of the network between entries and agents.
   NetworkFaults Faults;
 };
 
-/// 51 entries with a tenth of a core each, 240 workers of four to six tasks,
-/// and callers that are unevenly divided among the entries.
+/// 51 entries with a tenth of a core each, 240 workers with capacity for four
+/// to six tasks each, and callers that are unevenly distributed over the
+/// entries.
 MixedLoadOptions fleetLoad();
 
 struct MixedOutcome {
@@ -76,10 +77,11 @@
   EntryEffort Effort;
 };
 
-/// Plays the load and returns what became of each kind.
+/// Runs the load and returns the outcomes of each kind.
 MixedOutcome playMixed(const MixedLoadOptions &Options);
 
-/// The mean over the kinds of what jobs have earned: 1 in time, a fifth late.
+/// Returns the mean credit of a job, averaged over the kinds: a job answered in
+/// time earns 1, a late one a fifth.
 double creditOf(const std::map<std::string, RouteOutcome> &Routes);
 
 } // namespace yardwheel
--- a/emulator/persistent_caller.cpp
+++ b/emulator/persistent_caller.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-/// Before a caller whose connection was refused looks elsewhere.
+/// Delay before a caller whose connection was refused tries another entry.
 constexpr std::chrono::milliseconds RefusedPause{100};
 
 } // namespace
@@ -51,7 +51,7 @@
   }
   ++this->Tries;
   this->Waits = true;
-  // It may be answered within the call.
+  // The answer may arrive within the call.
   SubmissionId Next = this->World.nextSubmission();
   this->Current = Next;
   this->note(fmt::format("handed in as {} at entry-{}", Next, this->Entry));
--- a/emulator/persistent_caller.h
+++ b/emulator/persistent_caller.h
@@ -1,9 +1,10 @@
-//===- emulator/persistent_caller.h - Hands a job in again ------*- C++ -*-===//
+//===- emulator/persistent_caller.h - Caller that retries -------*- C++ -*-===//
 ///
 /// \file
-/// A caller of one job that hands it in again when it was not run, and after
-/// the time that the product is promised when it does not know: the answer says
-/// so, the entry died, or no answer came for as long as it waits.
+/// A caller that submits one job and resubmits it when it was not run. When it
+/// is unknown whether the job was run (the answer says so, the entry died, or
+/// no answer came in time), the caller first waits for the time that the
+/// contract with callers demands.
 ///
 //===----------------------------------------------------------------------===//
 #ifndef YARDWHEEL_EMULATOR_PERSISTENT_CALLER_H
@@ -20,10 +21,10 @@
 namespace yardwheel {
 
 struct PersistentCallerOptions {
-  /// Before a job that may have run is handed in again, at another entry.
+  /// Delay before a job that may have run is resubmitted, to another entry.
   std::chrono::milliseconds ResubmitAfter{1300};
   std::uint32_t MaxTries = 8;
-  /// For how long it keeps a connection open; no longer than the deadline that
+  /// How long the caller waits for an answer; at most until the deadline that
   /// it declares.
   std::chrono::milliseconds Patience = std::chrono::milliseconds::max();
 };
@@ -34,11 +35,11 @@
                    std::vector<std::chrono::milliseconds> Lengths,
                    PersistentCallerOptions Options);
 
-  /// Hands the job in. The caller has to stay until the world ends.
+  /// Submits the job. This object has to outlive the simulation.
   void begin();
-  /// How the job has ended for this caller, if it has.
+  /// Returns the final outcome for this caller, if there is one.
   std::optional<LeasedEnd> end() const { return this->Ended; }
-  /// What it did and heard, a line each.
+  /// Returns a line for each of the caller's actions and answers.
   const std::string &log() const { return this->Log; }
 
 private:
@@ -46,7 +47,7 @@
   void tryAgainAfter(std::chrono::milliseconds Delay);
   void hear(const std::optional<LeasedAnswer> &Answer);
   void disconnect();
-  /// Any but the one tried last.
+  /// Draws an entry other than the one tried last.
   std::size_t otherEntry();
   void note(const std::string &What);
 
@@ -56,7 +57,7 @@
   PersistentCallerOptions Options;
   std::size_t Entry = 0;
   SubmissionId Current = 0;
-  /// Waits for the answer to the current hand-in.
+  /// Whether the caller waits for the answer to the current submission.
   bool Waits = false;
   std::uint32_t Tries = 0;
   std::optional<LeasedEnd> Ended;
--- a/emulator/run_register.h
+++ b/emulator/run_register.h
@@ -1,9 +1,10 @@
-//===- emulator/run_register.h - All runs of all workers --------*- C++ -*-===//
+//===- emulator/run_register.h - Record of all runs ------------*- C++ -*-===//
 ///
 /// \file
-/// What an observer of all workers sees: which runs are alive, where two of one
-/// task are, which hand-ins have been run, and what tasks that crash their
-/// workers have done.
+/// Records the runs of all workers, as an outside observer sees them: which
+/// runs are alive, which tasks had two runs at once, which submissions have
+/// been run, and how many crashes the tasks that crash their workers have
+/// caused.
 ///
 //===----------------------------------------------------------------------===//
 #ifndef YARDWHEEL_EMULATOR_RUN_REGISTER_H
@@ -20,15 +21,16 @@
 
 namespace yardwheel {
 
-/// Names one time that a caller has handed a job in.
+/// Identifies one submission of a job by a caller; resubmissions get new ids.
 using SubmissionId = std::uint64_t;
 
-/// What tasks that crash their workers have done.
+/// Statistics of the tasks that crash their workers.
 struct CrashStats {
   std::uint32_t Crashes = 0;
-  /// Workers that have crashed under one task, at most.
+  /// The largest number of workers that crashed while starting one task.
   std::uint32_t MaxCrashesOfOneTask = 0;
-  /// Starts of a task after three workers had crashed under it, at most.
+  /// The largest number of starts of one task after it had crashed three
+  /// workers.
   std::uint32_t MaxStartsAfterThree = 0;
 };
 
@@ -38,17 +40,19 @@
              TimePoint Now);
   void end(const std::string &Worker, const RunKey &Run, const std::string &How,
            TimePoint Now);
-  /// A run was started that crashes its worker.
+  /// Records the start of a run that crashes its worker.
   void noteCrash(const RunKey &Cause);
 
-  /// Starts of a task while another run of it was under way, at any worker.
+  /// Counts the starts of a task while another run of it was alive, at any
+  /// worker.
   std::uint32_t doubled() const { return this->Doubled; }
-  /// Whether a run of this hand-in has ever begun.
+  /// Returns whether a run of this submission has ever begun.
   bool hasBegun(SubmissionId Which) const {
     return this->Begun.contains(Which);
   }
   CrashStats crashStats() const;
-  /// A line for each run of the tasks that had two at once.
+  /// Returns a line for each run of the tasks that had two runs at once, with
+  /// times in milliseconds after \p Since.
   std::string describeOverlapping(TimePoint Since) const;
 
 private:
--- a/emulator/virtual_cluster.cpp
+++ b/emulator/virtual_cluster.cpp
@@ -101,7 +101,8 @@
   return Result;
 }
 
-/// Without control, every entry is told of all agents and entries at once.
+/// Without control replicas, announces all agents and entries to every entry
+/// directly.
 void VirtualCluster::announceFixed() {
   if (this->Options.Controls > 0)
     return;
--- a/emulator/virtual_cluster.h
+++ b/emulator/virtual_cluster.h
@@ -1,9 +1,9 @@
 //===- emulator/virtual_cluster.h - Entries and agents -----*- C++ -*-===//
 ///
 /// \file
-/// Entries, agents and, where wanted, control replicas in one virtual world,
-/// with a count of the starts that the upstreams have seen. Checks after every
-/// event what must always hold.
+/// Entries, agents and, optionally, control replicas in one virtual world. It
+/// counts the task starts that the upstreams see, and checks invariants while
+/// the cluster runs.
 ///
 //===----------------------------------------------------------------------===//
 #ifndef YARDWHEEL_EMULATOR_VIRTUAL_CLUSTER_H
@@ -23,7 +23,7 @@
 
 namespace yardwheel {
 
-/// How an upstream treats one task.
+/// How an upstream executes one task.
 struct TaskBehaviour {
   Duration Service = std::chrono::milliseconds(100);
   bool Fails = false;
@@ -33,11 +33,12 @@
   std::uint64_t Seed = 1;
   std::size_t Entries = 2;
   std::size_t Agents = 3;
-  /// 0 puts a fixed configuration in place of control.
+  /// 0 uses a fixed configuration instead of control replicas.
   std::size_t Controls = 0;
   std::uint32_t Slots = 4;
   std::string Policy = "slot_borrow";
-  /// An upstream's answer is its task's payload up to the first space.
+  /// Returns the behaviour of a task. The upstream answers with the task's
+  /// payload up to the first space.
   std::function<TaskBehaviour(const std::string &Agent,
                               const std::string &Payload)>
       Behaviour;
@@ -46,7 +47,7 @@
   std::size_t MaxAnswerBytes = SIZE_MAX;
   /// How long a ledger holder must be lost before it is replaced.
   std::chrono::milliseconds ReplaceAfter{1500};
-  // Mechanisms that a test may turn off.
+  // Mechanisms that a test can turn off.
   bool ClaimsFirst = true;
   bool RefuseUnknownPast = true;
   bool ResendOnlyOnProof = true;
@@ -55,7 +56,7 @@
   bool SealsGroups = true;
 };
 
-/// What became of one submission.
+/// The result of one submission.
 struct Answer {
   std::string Entry;
   std::string JobKey;
@@ -64,7 +65,7 @@
   std::uint32_t Count = 0;
   peer::JobOutcome Outcome;
   TimePoint SubmittedAt;
-  /// The life of the entry that was asked; 0 if it was down.
+  /// The incarnation of the entry at the submission; 0 if it was down.
   std::uint64_t EntryLife = 0;
   TimePoint At;
 };
@@ -76,7 +77,7 @@
 
   VirtualWorld World;
 
-  /// Runs until entries take jobs.
+  /// Runs until entries accept jobs.
   void settle();
   void run(Duration Time) { this->World.run(Time); }
 
@@ -93,22 +94,23 @@
   /// Without control, tells every entry that an agent is lost.
   void announceLost(const std::string &Agent);
   void restart(const std::string &Node);
-  /// Starts a replica that never was a member, as a replacement.
+  /// Starts a replica that was never a member, as a replacement.
   void startReplica(const std::string &Name);
 
-  /// Submissions without an answer although their entry has lived on.
+  /// Returns the number of submissions without an answer whose entry has not
+  /// been restarted or killed.
   std::size_t unanswered() const;
   std::uint32_t starts(const JobRequest &Request, std::uint32_t Task) const;
   std::uint32_t starts(const JobRequest &Request) const;
-  /// Tasks that were started more than once, over the whole run.
+  /// Returns the number of tasks that were started more than once.
   std::uint32_t doubleStarts() const;
-  /// What else was seen to be wrong; empty if nothing was.
+  /// Describes the last violated invariant; empty if there was none.
   const std::string &violation() const { return this->Violation; }
-  /// When the newest task was started at an agent's upstream.
+  /// Returns when the last task was started at an agent's upstream.
   TimePoint lastStartAt(const std::string &Agent) const;
 
   ControlService *control(const std::string &Name);
-  /// The replica that leads and is up; empty if there is none.
+  /// Returns the leader among the running replicas; empty if there is none.
   std::string leader();
   const NodeCatalog &catalogOf(const std::string &Node) const;
   AgentCore &agent(const std::string &Name);
--- a/emulator/virtual_nodes.h
+++ b/emulator/virtual_nodes.h
@@ -2,7 +2,8 @@
 //-*-===//
 ///
 /// \file
-/// What VirtualCluster puts around the decision code of each role. Included by
+/// The nodes of VirtualCluster, one class for each role; each connects the
+/// decision code of its role to the virtual world. Included by
 /// virtual_cluster.cpp only.
 ///
 //===----------------------------------------------------------------------===//
@@ -144,7 +145,7 @@
   void start(const TaskKey &Task, const std::string &,
              const std::string &Payload) override {
     this->Cluster.noteStart(this->Name, Task);
-    // The upstream goes on when its agent dies; its answer then goes nowhere.
+    // The upstream goes on when its agent dies; its answer is then dropped.
     VirtualCluster *Owner = &this->Cluster;
     TaskBehaviour Plan;
     if (Owner->Options.Behaviour)
@@ -163,7 +164,7 @@
     this->Core.onTaskEnded(Task, End, this->Cluster.World.now());
   }
 
-  /// A frozen agent reads the upstream's answer when it wakes.
+  /// A frozen agent reads the upstream's answer when it thaws.
   void finishLater(const TaskKey &Task, const std::string &Payload,
                    const TaskBehaviour &Plan) {
     VirtualCluster *Owner = &this->Cluster;
--- a/emulator/virtual_processor.h
+++ b/emulator/virtual_processor.h
@@ -1,9 +1,11 @@
-//===- emulator/virtual_processor.h - A share of a core ---------*- C++ -*-===//
+//===- emulator/virtual_processor.h - A node's processor ---------*- C++
+//-*-===//
 ///
 /// \file
-/// The processor of a node in virtual time: it does one thing after the other,
-/// and each takes its time. Without it messages are free, and whatever sends
-/// more of them looks better than it is on a host with a tenth of a core.
+/// The processor of a node in virtual time. It runs one action at a time, and
+/// each action takes a given time. Without it messages cost nothing, and a
+/// design that sends more of them looks better than it is on a host with a
+/// tenth of a core.
 ///
 //===----------------------------------------------------------------------===//
 #ifndef YARDWHEEL_EMULATOR_VIRTUAL_PROCESSOR_H
@@ -19,10 +21,10 @@
 public:
   explicit VirtualProcessor(VirtualWorld &World) : World(World) {}
 
-  /// Runs \p Action once all that came before it is done and \p Cost has
-  /// passed; at once if there is nothing to wait for.
+  /// Runs \p Action after all earlier actions, once \p Cost has passed;
+  /// immediately if there is nothing to wait for.
   void run(Duration Cost, std::function<void()> Action);
-  /// Time spent so far.
+  /// Returns the processor time used so far.
   Duration busy() const { return this->Busy; }
 
 private:
--- a/emulator/virtual_worker.cpp
+++ b/emulator/virtual_worker.cpp
@@ -11,7 +11,8 @@
 namespace {
 
 constexpr std::int64_t WholePermille = 1000;
-/// What its clock shows when a life begins; any time but zero will do.
+/// The worker's clock at the start of an incarnation; any time except zero
+/// works.
 constexpr WorkerTime ClockStart{480000};
 
 struct Spec {
@@ -108,7 +109,7 @@
   if (this->Alive.empty() || this->AwaitsLapse)
     return;
   this->AwaitsLapse = true;
-  // A slow clock shows the end of the lease later.
+  // A slow clock reaches the end of the lease later, so check again then.
   Duration Left = std::max<Duration>(this->LeaseEnd - this->clock(),
                                      std::chrono::milliseconds(1));
   this->World.after(Left, [this] {
@@ -141,7 +142,7 @@
     Reply.Refusal = WorkerRefusal::LeaseExpired;
     return Reply;
   }
-  // Also a start that is refused as old brings its lease.
+  // A start that is refused as stale extends the lease too.
   this->extendLease(Call.LeaseUntil);
   if (this->Alive.contains(Call.Run))
     return Reply;
--- a/emulator/virtual_worker.h
+++ b/emulator/virtual_worker.h
@@ -1,9 +1,9 @@
 //===- emulator/virtual_worker.h - A worker in virtual time -----*- C++ -*-===//
 ///
 /// \file
-/// A worker that runs each task for as long as its spec says, or crashes when
-/// it starts it. All that runs holds one lease by the worker's own clock, which
-/// may be slow; calls carry a fencing token.
+/// A worker that runs each task for the time in its spec, or crashes when it
+/// starts the task. All its runs share one lease, measured by the worker's own
+/// clock, which may be slow. Calls carry a fencing token.
 ///
 //===----------------------------------------------------------------------===//
 #ifndef YARDWHEEL_EMULATOR_VIRTUAL_WORKER_H
@@ -22,25 +22,25 @@
 
 namespace yardwheel {
 
-/// In place of a task's length: the worker that starts it crashes.
+/// Given as the length of a task: the worker that starts the task crashes.
 constexpr std::chrono::milliseconds CrashesWorker{-1};
 
-/// What a worker needs to know of a hand-in: who it is for, and how long its
-/// tasks run.
+/// Returns the spec that a worker reads: the submission that the job belongs
+/// to, and how long each of its tasks runs.
 std::string specOf(SubmissionId For,
                    const std::vector<std::chrono::milliseconds> &Lengths);
 
 struct VirtualWorkerOptions {
-  /// A longer lease is shortened to this.
+  /// Upper limit of a lease; longer ones are shortened to it.
   std::chrono::milliseconds MaxLease{1000};
-  /// What a stop takes at most; each takes some of it.
+  /// Upper limit of the time that a stop takes; each draws a time up to it.
   std::chrono::milliseconds MaxStopTime{50};
-  /// How much slower than real time its clock may go, in thousandths.
+  /// How much slower than real time the worker's clock may run, in thousandths.
   std::uint32_t MaxSlowPermille = 20;
-  /// One that has crashed is back after this long, as another life.
+  /// Time from a crash until the worker starts again, as a new incarnation.
   std::chrono::milliseconds RestartAfter{2500};
   std::uint32_t RoomMilli = 64000;
-  /// Each life has the id of the first, and says when it was born.
+  /// All incarnations have the same id, and announce their start time.
   bool KeepsId = false;
 };
 
@@ -53,20 +53,20 @@
                 std::uint64_t Seed);
 
   bool isUp() const { return this->Up; }
-  /// Called when another life of it has begun.
+  /// Sets the handler that is called after each restart of the worker.
   void onRestart(std::function<void()> Handler) {
     this->Restarted = std::move(Handler);
   }
-  /// What it says of itself now.
+  /// Returns the worker's current announcement.
   WorkerProfile announce();
 
-  /// Carries out a call to one of its lives at once. Calls name a life by its
-  /// id, so that one meant for an earlier life of the same id is carried out.
+  /// Executes a call immediately. Calls name an incarnation by its id, so a
+  /// call meant for an earlier incarnation with the same id is executed too.
   WorkerReply start(const std::string &Id, const StartCall &Call);
   WorkerReply stop(const std::string &Id, const StopCall &Call);
-  /// Answers once it has an end to tell, or the call's wait is over.
+  /// Replies once a run has ended, or when the call's wait is over.
   void hold(const std::string &Id, const HoldCall &Call, Answer Reply);
-  /// What runs ends, and another life begins some time later.
+  /// Ends all runs; the worker restarts after a delay as a new incarnation.
   void crash();
   void crash(std::chrono::milliseconds RestartAfter);
 
@@ -82,7 +82,7 @@
 
   WorkerTime clock() const;
   WorkerReply reply(const std::string &Id) const;
-  /// Checks a call's token, and keeps the highest.
+  /// Checks the fencing token of a call, and keeps the highest one.
   WorkerRefusal fence(std::uint64_t Token);
   void extendLease(WorkerTime Until);
   void lapseLater();
@@ -91,7 +91,7 @@
   void end(const RunKey &Run, RunOutcome How);
   void restart();
   void beginLife();
-  /// Answers each of the calls that wait.
+  /// Replies to all waiting hold calls.
   void answerHolds();
   void tell(const std::vector<WaitingHold> &Due);
 
@@ -104,16 +104,16 @@
   std::function<void()> Restarted;
   bool Up = true;
   std::uint64_t Lives = 1;
-  /// Names the present life in the register of runs.
+  /// Name of the current incarnation in the register of runs.
   std::string LifeName;
   TimePoint Started;
   std::uint32_t SlowPermille = 0;
   WorkerTime LeaseEnd{};
-  /// The end of the lease is already being awaited.
+  /// Whether a check for the end of the lease is already scheduled.
   bool AwaitsLapse = false;
   std::uint64_t Token = 0;
   std::map<RunKey, Run> Alive;
-  /// The highest run of a task that was stopped or has ended here.
+  /// The highest run number of each task that was stopped or has ended here.
   std::map<TaskName, std::uint64_t> LastOver;
   std::deque<EndedRun> Ended;
   std::uint64_t LastEnd = 0;
--- a/emulator/virtual_world.cpp
+++ b/emulator/virtual_world.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 constexpr std::uint32_t WholePermille = 1000;
-/// Where virtual time begins; any point far from zero will do.
+/// Start of virtual time; any point far from zero works.
 constexpr std::chrono::hours SteadyStart{1000};
 constexpr std::chrono::milliseconds DeliveryTimeout{1000};
 constexpr std::chrono::milliseconds WallStart{1800000000000};
@@ -205,14 +205,14 @@
   if (this->Faults.Jitter.count() > 0)
     Delay += Duration(this->Random() %
                       static_cast<std::uint64_t>(this->Faults.Jitter.count()));
-  // A later life at the same address receives it, as on a real network.
+  // A later incarnation at the same address receives it, as on a real network.
   this->after(Delay, [this, Sent] {
     const std::string &From = Sent.From.Node;
     const std::string &To = Sent.To.Node;
     Node &Target = this->Nodes[To];
     bool Lost = this->isCut(From, To);
     bool Late = !Target.Up || Target.Frozen;
-    // Of what arrives the receipt may be lost.
+    // The acknowledgement of a message that arrives may be lost too.
     if (Lost || Late || this->isCut(To, From))
       this->reportFailure(Sent);
     if (Lost)
--- a/emulator/virtual_world.h
+++ b/emulator/virtual_world.h
@@ -1,9 +1,10 @@
-//===- emulator/virtual_world.h - Virtual time and a bad network *- C++ -*-===//
+//===- emulator/virtual_world.h - Virtual time and network -*- C++ -*-===//
 ///
 /// \file
-/// A fake at the interfaces of the decision code: an event queue in virtual
-/// time and a network that delays, drops, doubles, reorders and cuts, all
-/// from one seed. It knows nothing of what the messages mean.
+/// A simulation behind the interfaces of the decision code: an event queue in
+/// virtual time, and a network that delays, drops, duplicates and reorders
+/// messages and cuts links, all from one seed. It does not interpret the
+/// messages.
 ///
 //===----------------------------------------------------------------------===//
 #ifndef YARDWHEEL_EMULATOR_VIRTUAL_WORLD_H
@@ -25,17 +26,17 @@
 namespace yardwheel {
 
 struct NetworkFaults {
-  /// Chances, in thousandths.
+  /// Probabilities, in thousandths.
   std::uint32_t LossPermille = 0;
   std::uint32_t DuplicatePermille = 0;
-  /// Added to a message's delay, at random up to this.
+  /// Upper limit of the random time that is added to a message's delay.
   Duration Jitter{0};
 };
 
-/// In what order a node that thaws takes what it held.
+/// The order in which a node that thaws handles the events it held back.
 enum class ThawOrder {
   AsHeld,
-  /// Its timers fire after it has read all that came meanwhile.
+  /// Timers fire after all messages that arrived meanwhile were read.
   TimersLast,
 };
 
@@ -54,46 +55,48 @@
   /// Runs events up to \p Until from now.
   void run(Duration Until);
 
-  /// Adds a node, or begins a new life of it. Messages and timers of its
-  /// earlier lives are dropped.
+  /// Adds a node, or starts a new incarnation of it. Events that an earlier
+  /// incarnation held back, and its timers, are dropped.
   void start(const std::string &Node, Receiver Receive);
-  /// Tells a node, after a delivery's time-out, that a message of its own did
-  /// not arrive in time, or that its receipt did not.
+  /// Sets the handler that tells a node, after the delivery timeout, that one
+  /// of its messages, or the acknowledgement of one, did not arrive in time.
   void onSendFailed(const std::string &Node,
                     std::function<void(const Undelivered &Lost)> Handler);
-  /// Calls \p Tick every \p Interval for as long as this life lasts.
+  /// Calls \p Tick every \p Interval for as long as this incarnation lasts.
   void every(const std::string &Node, Duration Interval,
              const std::function<void()> &Tick);
-  /// Runs \p Action on a node's present life: when it thaws, if it is frozen.
+  /// Runs \p Action on a node's current incarnation; if the node is frozen,
+  /// when it thaws.
   void runOn(const std::string &Node, const std::function<void()> &Action);
   void kill(const std::string &Node);
-  /// A frozen node does nothing; what comes meanwhile waits for it.
+  /// Suspends a node; events for it are held back until it thaws.
   void freeze(const std::string &Node);
   void thaw(const std::string &Node, ThawOrder Order = ThawOrder::AsHeld);
   bool isUp(const std::string &Node) const;
 
-  /// Nothing passes between \p Node and any other node.
+  /// Cuts all links between \p Node and other nodes.
   void isolate(const std::string &Node) { this->Isolated.insert(Node); }
   void reconnect(const std::string &Node) { this->Isolated.erase(Node); }
   void cut(const std::string &A, const std::string &B);
-  /// Nothing passes from one to the other, while the way back is open.
+  /// Cuts the link from \p From to \p To; the other direction stays open.
   void cutOneWay(const std::string &From, const std::string &To);
   void restoreOneWay(const std::string &From, const std::string &To);
   void reconnectAll();
   void setFaults(NetworkFaults New) { this->Faults = New; }
-  /// One-way delay between two nodes.
+  /// Sets the one-way delay between two nodes.
   void setDelay(
       std::function<Duration(const std::string &, const std::string &)> New) {
     this->DelayBetween = std::move(New);
   }
-  /// Sees each message before it is sent, and may hold it back by a delay.
+  /// Sets a filter that sees each message before it is sent, and returns an
+  /// additional delay for it.
   void setFilter(std::function<Duration(const PeerRef &, const PeerRef &,
                                         const peer::Message &)>
                      New) {
     this->Filter = std::move(New);
   }
 
-  /// The outlet of a node.
+  /// Returns the sink for the messages that a node sends.
   PeerSink &sinkOf(const std::string &Node);
   std::uint64_t messagesSent() const { return this->Sent; }
   std::uint64_t bytesSent() const { return this->Bytes; }
@@ -124,7 +127,7 @@
 
   void send(const std::string &From, const PeerRef &To,
             const peer::Message &Message);
-  /// A message on its way, and the life of the node that sent it.
+  /// A message in transit, with the incarnation of the node that sent it.
   struct Parcel {
     PeerRef From;
     PeerRef To;
