--- a/bench/bench_main.cpp
+++ b/bench/bench_main.cpp
@@ -21,7 +21,7 @@
              "{:>7} {:>6} {:>7}{}\n",
              Row.Policy, Row.Load, Row.Slowdown.P50, Row.Slowdown.P99,
              Row.Slowdown.P999, Row.Slowdown.P99 / Ideal.Slowdown.P99,
-             Row.WastedPerTask, Row.Refused, Row.Failed, Row.DoubledStarts,
+             Row.WastedPerTask, Row.Refused, Row.Failed, Row.DoubleStarts,
              Row.Violation.empty() ? "" : "  VIOLATION: " + Row.Violation);
 }
 
@@ -35,30 +35,30 @@
 }
 
 /// \returns whether nothing happened that must never happen.
-bool runDeployment(const Deployment &Place) {
+bool runDeployment(const Deployment &Site) {
   Duration Length = std::chrono::seconds(FLAGS_seconds);
   fmt::print(
       "\n{}: {} entries, {} upstreams of {} slots, {} data centres, seed "
       "{}, {} s\n",
-      Place.Name, Place.Entries, Place.Upstreams, Place.Slots,
-      Place.DataCentres, FLAGS_seed, FLAGS_seconds);
+      Site.Name, Site.Entries, Site.Upstreams, Site.Slots, Site.DataCentres,
+      FLAGS_seed, FLAGS_seconds);
   fmt::print("{:<13} {:<15} {:>6} {:>7} {:>7} {:>7} {:>8} {:>7} {:>6} {:>7}\n",
              "policy", "load", "p50", "p99", "p99.9", "/ideal", "wasted",
              "refused", "failed", "doubled");
   bool Good = true;
   for (const LoadSpec &Load : allLoads()) {
-    BenchRow Ideal = runIdeal(Place, Load, Length, FLAGS_seed);
+    BenchRow Ideal = runIdeal(Site, Load, Length, FLAGS_seed);
     printRow(Ideal, Ideal);
     std::vector<std::future<BenchRow>> Runs;
     for (const std::string &Policy : chosenPolicies())
       Runs.push_back(
-          std::async(std::launch::async, [&Place, &Load, Policy, Length] {
-            return runPolicy(Place, Load, Policy, Length, FLAGS_seed);
+          std::async(std::launch::async, [&Site, &Load, Policy, Length] {
+            return runPolicy(Site, Load, Policy, Length, FLAGS_seed);
           }));
     for (std::future<BenchRow> &Run : Runs) {
       BenchRow Row = Run.get();
       printRow(Row, Ideal);
-      Good = Good && Row.DoubledStarts == 0 && Row.Violation.empty();
+      Good = Good && Row.DoubleStarts == 0 && Row.Violation.empty();
     }
   }
   return Good;
@@ -70,8 +70,8 @@
   gflags::SetUsageMessage("Compares dispatch policies in virtual time.");
   gflags::ParseCommandLineFlags(&Count, &Arguments, true);
   bool Good = true;
-  for (const Deployment &Place : {tradingUnit(), skyArchive()})
-    if (FLAGS_deployment.empty() || FLAGS_deployment == Place.Name)
-      Good = runDeployment(Place) && Good;
+  for (const Deployment &Site : {tradingUnit(), skyArchive()})
+    if (FLAGS_deployment.empty() || FLAGS_deployment == Site.Name)
+      Good = runDeployment(Site) && Good;
   return Good ? 0 : 1;
 }
--- a/bench/decision_benchmark.cpp
+++ b/bench/decision_benchmark.cpp
@@ -35,20 +35,20 @@
   UpstreamTable Table = makeTable(State.range(0));
   std::unique_ptr<RoutePolicy> Policy = makePolicy(Name);
   std::mt19937_64 Random(1);
-  std::vector<UpstreamIndex> Out(static_cast<std::size_t>(State.range(0)) *
-                                 Slots / 4);
-  for (std::size_t I = 0; I < Out.size(); ++I) {
-    Out[I] = static_cast<UpstreamIndex>(I % Table.size());
-    Table.onSent(Out[I]);
+  std::vector<UpstreamIndex> InFlight(static_cast<std::size_t>(State.range(0)) *
+                                      Slots / 4);
+  for (std::size_t I = 0; I < InFlight.size(); ++I) {
+    InFlight[I] = static_cast<UpstreamIndex>(I % Table.size());
+    Table.onSent(InFlight[I]);
   }
   std::size_t Next = 0;
   for (auto Unused : State) {
     (void)Unused;
     std::optional<UpstreamIndex> Chosen = Policy->choose(Table, Random);
-    Table.onSettled(Out[Next]);
-    Out[Next] = Chosen.value_or(0);
-    Table.onSent(Out[Next]);
-    Next = (Next + 1) % Out.size();
+    Table.onSettled(InFlight[Next]);
+    InFlight[Next] = Chosen.value_or(0);
+    Table.onSent(InFlight[Next]);
+    Next = (Next + 1) % InFlight.size();
   }
 }
 
--- a/bench/ideal_queue.cpp
+++ b/bench/ideal_queue.cpp
@@ -13,7 +13,7 @@
     std::priority_queue<Duration, std::vector<Duration>, std::greater<>>;
 
 /// Takes an upstream's slots away; those that fall free first.
-void loseUpstream(FreeTimes &Slots, std::uint32_t Count) {
+void removeUpstream(FreeTimes &Slots, std::uint32_t Count) {
   for (std::uint32_t I = 0; I < Count; ++I)
     Slots.pop();
 }
@@ -38,20 +38,20 @@
 } // namespace
 
 std::vector<std::optional<Duration>>
-idealResponses(const std::vector<JobPlan> &Jobs, const Deployment &Place,
+idealResponses(const std::vector<JobPlan> &Jobs, const Deployment &Site,
                const LoadSpec &Load, Duration Length) {
   FreeTimes Slots;
-  for (std::uint32_t I = 0; I < Place.totalSlots(); ++I)
+  for (std::uint32_t I = 0; I < Site.totalSlots(); ++I)
     Slots.push(Duration(0));
   if (Load.FailingUpstream)
-    loseUpstream(Slots, Place.Slots);
-  bool Whole = Load.LostUpstream;
+    removeUpstream(Slots, Site.Slots);
+  bool LossPending = Load.LostUpstream;
   std::vector<std::optional<Duration>> Responses;
   Responses.reserve(Jobs.size());
   for (const JobPlan &Job : Jobs) {
-    if (Whole && Job.At >= Length / 2) {
-      loseUpstream(Slots, Place.Slots);
-      Whole = false;
+    if (LossPending && Job.At >= Length / 2) {
+      removeUpstream(Slots, Site.Slots);
+      LossPending = false;
     }
     Duration End = runJob(Job, Slots);
     if (Job.CancelAt)
--- a/bench/ideal_queue.h
+++ b/bench/ideal_queue.h
@@ -17,7 +17,7 @@
 
 /// Response times by job; nothing for a job that is cancelled.
 std::vector<std::optional<Duration>>
-idealResponses(const std::vector<JobPlan> &Jobs, const Deployment &Place,
+idealResponses(const std::vector<JobPlan> &Jobs, const Deployment &Site,
                const LoadSpec &Load, Duration Length);
 
 } // namespace yardwheel
--- a/bench/overload_main.cpp
+++ b/bench/overload_main.cpp
@@ -71,7 +71,7 @@
          const std::map<std::string, RouteOutcome> &Seen) {
   for (const auto &[Route, One] : Seen) {
     RouteOutcome &Sum = To[Route];
-    Sum.Asked += One.Asked;
+    Sum.Submitted += One.Submitted;
     Sum.InTime += One.InTime;
     Sum.Late += One.Late;
     Sum.Refused += One.Refused;
@@ -97,16 +97,16 @@
 }
 
 /// What became of a variant's jobs over all seeds.
-struct Tally {
+struct VariantTotals {
   std::map<std::string, RouteOutcome> Sum;
   EntryEffort Effort;
-  double Least = 1;
-  double Most = 0;
+  double MinCredit = 1;
+  double MaxCredit = 0;
 
   void add(const MixedOutcome &Seen) {
-    double Credit = creditOf(Seen.Routes);
-    this->Least = std::min(this->Least, Credit);
-    this->Most = std::max(this->Most, Credit);
+    double Credit = meanCredit(Seen.Routes);
+    this->MinCredit = std::min(this->MinCredit, Credit);
+    this->MaxCredit = std::max(this->MaxCredit, Credit);
     ::add(this->Sum, Seen.Routes);
     this->Effort.TasksSent += Seen.Effort.TasksSent;
     this->Effort.TasksRefused += Seen.Effort.TasksRefused;
@@ -117,12 +117,12 @@
   std::string line(const char *Name) const {
     std::string Line =
         fmt::format("{:<28} credit {:.3f} ({:.3f} to {:.3f})", Name,
-                    creditOf(this->Sum), this->Least, this->Most);
+                    meanCredit(this->Sum), this->MinCredit, this->MaxCredit);
     for (const auto &[Route, Seen] : this->Sum)
       Line += fmt::format("; {} in time {:.3f} late {:.3f} refused {:.3f}",
                           Route, Seen.inTimeShare(),
-                          static_cast<double>(Seen.Late) / Seen.Asked,
-                          static_cast<double>(Seen.Refused) / Seen.Asked);
+                          static_cast<double>(Seen.Late) / Seen.Submitted,
+                          static_cast<double>(Seen.Refused) / Seen.Submitted);
     Line += fmt::format("; tasks given back {:.3f}",
                         static_cast<double>(this->Effort.TasksRefused) /
                             static_cast<double>(this->Effort.TasksSent));
@@ -143,11 +143,11 @@
   for (const Variant &Variant : Variants) {
     if (std::string(Variant.Name).rfind(FLAGS_only, 0) != 0)
       continue;
-    Tally Total;
+    VariantTotals Total;
     for (std::uint64_t Seed = 1; Seed <= FLAGS_seeds; ++Seed) {
       MixedLoadOptions Options = optionsFor(Seed);
       Variant.Change(Options);
-      Total.add(playMixed(Options));
+      Total.add(runMixedLoad(Options));
     }
     dprintf(Terminal, "%s\n", Total.line(Variant.Name).c_str());
   }
--- a/bench/policy_bench.cpp
+++ b/bench/policy_bench.cpp
@@ -10,10 +10,10 @@
 
 namespace {
 
-constexpr Duration CallerPatience{1000000};
-constexpr std::uint32_t CallerRetries = 2;
+constexpr Duration CallerTimeout{1000000};
+constexpr std::uint32_t MaxCallerRetries = 2;
 /// Time after the last arrival in which the jobs under way may end.
-constexpr Duration Ending{40000000};
+constexpr Duration DrainTime{40000000};
 constexpr Duration FailureTime{1000};
 
 const char *const FailingAgent = "a1";
@@ -28,10 +28,10 @@
 /// Counts the messages of one kind or another that pass.
 class MessageCounter {
 public:
-  void see(const peer::Message &Message) {
+  void record(const peer::Message &Message) {
     switch (Message.body_case()) {
     case peer::Message::kTaskUpdate:
-      this->seeUpdate(Message.task_update());
+      this->recordUpdate(Message.task_update());
       return;
     case peer::Message::kClaimRequest:
       ++this->Claims;
@@ -52,13 +52,14 @@
 
   double wastedPerTask(std::size_t Jobs, std::size_t Tasks) const {
     std::uint64_t Needed = HoldersPerGroup * Jobs;
-    std::uint64_t Again = this->Claims > Needed ? this->Claims - Needed : 0;
-    return static_cast<double>(this->Wasted + Again) /
+    std::uint64_t ClaimsResent =
+        this->Claims > Needed ? this->Claims - Needed : 0;
+    return static_cast<double>(this->Wasted + ClaimsResent) /
            static_cast<double>(Tasks);
   }
 
 private:
-  void seeUpdate(const peer::TaskUpdate &Update) {
+  void recordUpdate(const peer::TaskUpdate &Update) {
     bool Ended = Update.event() == peer::TASK_SUCCEEDED ||
                  Update.event() == peer::TASK_FAILED;
     if (!Ended)
@@ -72,11 +73,11 @@
 /// One policy under one load, from the first arrival to the last answer.
 class PolicyRun {
 public:
-  PolicyRun(const Deployment &Place, const LoadSpec &Load,
+  PolicyRun(const Deployment &Site, const LoadSpec &Load,
             const std::string &Policy, Duration Length, std::uint64_t Seed)
-      : Place(Place), Load(Load), Length(Length),
-        Jobs(makeJobs(Place, Load, Length, Seed)),
-        Cluster(optionsFor(Place, Load, Policy, Seed)) {
+      : Site(Site), Load(Load), Length(Length),
+        Jobs(makeJobs(Site, Load, Length, Seed)),
+        Cluster(optionsFor(Site, Load, Policy, Seed)) {
     this->Result.Policy = Policy;
     this->Result.Load = Load.Name;
     this->setDelays();
@@ -84,7 +85,7 @@
         [this](const PeerRef &, const PeerRef &, const peer::Message &Sent) {
           // The quiet time after the load would count idle refreshes.
           if (this->Cluster.World.now().Steady < this->LoadEnd)
-            this->Messages.see(Sent);
+            this->Messages.record(Sent);
           return Duration(0);
         });
   }
@@ -98,22 +99,21 @@
       this->schedule(I);
     if (this->Load.LostUpstream)
       this->Cluster.World.after(this->Length / 2,
-                                [this] { this->loseUpstream(); });
-    this->Cluster.run(this->Length + Ending);
+                                [this] { this->removeUpstream(); });
+    this->Cluster.run(this->Length + DrainTime);
     this->collect();
     return this->Result;
   }
 
 private:
-  static ClusterOptions optionsFor(const Deployment &Place,
-                                   const LoadSpec &Load,
+  static ClusterOptions optionsFor(const Deployment &Site, const LoadSpec &Load,
                                    const std::string &Policy,
                                    std::uint64_t Seed) {
     ClusterOptions Options;
     Options.Seed = Seed;
-    Options.Entries = Place.Entries;
-    Options.Agents = Place.Upstreams;
-    Options.Slots = Place.Slots;
+    Options.Entries = Site.Entries;
+    Options.Agents = Site.Upstreams;
+    Options.Slots = Site.Slots;
     Options.Policy = Policy;
     Options.QueueLimit = 20000;
     Options.Behaviour = [Fails =
@@ -128,9 +128,9 @@
   }
 
   void setDelays() {
-    std::size_t Centres = this->Place.DataCentres;
-    Duration Near = this->Place.NearDelay;
-    Duration Far = this->Place.FarDelay;
+    std::size_t Centres = this->Site.DataCentres;
+    Duration Near = this->Site.NearDelay;
+    Duration Far = this->Site.FarDelay;
     this->Cluster.World.setDelay(
         [Centres, Near, Far](const std::string &A, const std::string &B) {
           auto CentreOf = [&](const std::string &Node) {
@@ -171,11 +171,11 @@
   void submit(std::size_t I, std::size_t Entry) {
     std::vector<std::size_t> &Mine = this->Submissions[I];
     Mine.push_back(this->Cluster.submit(entryName(Entry), this->Requests[I]));
-    if (!this->Load.Retries || Mine.size() > CallerRetries)
+    if (!this->Load.Retries || Mine.size() > MaxCallerRetries)
       return;
-    this->Cluster.World.after(CallerPatience, [this, I, Entry] {
+    this->Cluster.World.after(CallerTimeout, [this, I, Entry] {
       if (!this->firstAnswer(I))
-        this->submit(I, (Entry + 1) % this->Place.Entries);
+        this->submit(I, (Entry + 1) % this->Site.Entries);
     });
   }
 
@@ -183,14 +183,14 @@
   const Answer *firstAnswer(std::size_t I) const {
     const Answer *First = nullptr;
     for (std::size_t Number : this->Submissions[I]) {
-      const Answer &Heard = this->Cluster.answer(Number);
-      if (Heard.Done && (First == nullptr || Heard.At < First->At))
-        First = &Heard;
+      const Answer &Received = this->Cluster.answer(Number);
+      if (Received.Done && (First == nullptr || Received.At < First->At))
+        First = &Received;
     }
     return First;
   }
 
-  void loseUpstream() {
+  void removeUpstream() {
     this->Cluster.kill(LostAgent);
     // Control finds out after a lease.
     constexpr Duration Lease{3000000};
@@ -203,24 +203,24 @@
     for (std::size_t I = 0; I < this->Jobs.size(); ++I) {
       const JobPlan &Job = this->Jobs[I];
       this->Result.Tasks += Job.Tasks.size();
-      const Answer *Heard = this->firstAnswer(I);
-      if (Heard == nullptr) {
+      const Answer *Received = this->firstAnswer(I);
+      if (Received == nullptr) {
         this->Result.Violation = fmt::format("job {} was never answered", I);
         continue;
       }
-      if (Heard->Outcome.complete())
-        Slowdowns.push_back(slowdown(Job, Heard->At - this->submittedAt(I),
-                                     this->Place.totalSlots()));
-      else if (Heard->Outcome.failure().kind() == peer::FAILURE_LIMIT)
+      if (Received->Outcome.complete())
+        Slowdowns.push_back(slowdown(Job, Received->At - this->submittedAt(I),
+                                     this->Site.totalSlots()));
+      else if (Received->Outcome.failure().kind() == peer::FAILURE_LIMIT)
         ++this->Result.Refused;
-      else if (Heard->Outcome.failure().kind() != peer::FAILURE_CANCELLED)
+      else if (Received->Outcome.failure().kind() != peer::FAILURE_CANCELLED)
         ++this->Result.Failed;
     }
     this->Result.Jobs = this->Jobs.size();
     this->Result.Slowdown = quantilesOf(std::move(Slowdowns));
     this->Result.WastedPerTask =
         this->Messages.wastedPerTask(this->Result.Jobs, this->Result.Tasks);
-    this->Result.DoubledStarts = this->Cluster.doubleStarts();
+    this->Result.DoubleStarts = this->Cluster.doubleStarts();
     if (this->Result.Violation.empty())
       this->Result.Violation = this->Cluster.violation();
   }
@@ -229,7 +229,7 @@
     return this->Cluster.answer(this->Submissions[I].front()).SubmittedAt;
   }
 
-  const Deployment &Place;
+  const Deployment &Site;
   const LoadSpec &Load;
   Duration Length;
   TimePoint LoadEnd;
@@ -255,26 +255,26 @@
   return {At(0.5), At(0.99), At(0.999)};
 }
 
-BenchRow runPolicy(const Deployment &Place, const LoadSpec &Load,
+BenchRow runPolicy(const Deployment &Site, const LoadSpec &Load,
                    const std::string &Policy, Duration Length,
                    std::uint64_t Seed) {
-  return PolicyRun(Place, Load, Policy, Length, Seed).run();
+  return PolicyRun(Site, Load, Policy, Length, Seed).run();
 }
 
-BenchRow runIdeal(const Deployment &Place, const LoadSpec &Load,
-                  Duration Length, std::uint64_t Seed) {
-  std::vector<JobPlan> Jobs = makeJobs(Place, Load, Length, Seed);
+BenchRow runIdeal(const Deployment &Site, const LoadSpec &Load, Duration Length,
+                  std::uint64_t Seed) {
+  std::vector<JobPlan> Jobs = makeJobs(Site, Load, Length, Seed);
   BenchRow Result;
   Result.Policy = "ideal";
   Result.Load = Load.Name;
   Result.Jobs = Jobs.size();
   std::vector<double> Slowdowns;
   std::vector<std::optional<Duration>> Responses =
-      idealResponses(Jobs, Place, Load, Length);
+      idealResponses(Jobs, Site, Load, Length);
   for (std::size_t I = 0; I < Jobs.size(); ++I) {
     Result.Tasks += Jobs[I].Tasks.size();
     if (Responses[I])
-      Slowdowns.push_back(slowdown(Jobs[I], *Responses[I], Place.totalSlots()));
+      Slowdowns.push_back(slowdown(Jobs[I], *Responses[I], Site.totalSlots()));
   }
   Result.Slowdown = quantilesOf(std::move(Slowdowns));
   return Result;
--- a/bench/policy_bench.h
+++ b/bench/policy_bench.h
@@ -40,19 +40,19 @@
   double WastedPerTask = 0;
   std::size_t Refused = 0;
   std::size_t Failed = 0;
-  std::uint32_t DoubledStarts = 0;
+  std::uint32_t DoubleStarts = 0;
   /// Something that must never happen; empty if it did not.
   std::string Violation;
 };
 
 /// Runs one policy under one load.
-BenchRow runPolicy(const Deployment &Place, const LoadSpec &Load,
+BenchRow runPolicy(const Deployment &Site, const LoadSpec &Load,
                    const std::string &Policy, Duration Length,
                    std::uint64_t Seed);
 
 /// The ideal under the same load and seed.
-BenchRow runIdeal(const Deployment &Place, const LoadSpec &Load,
-                  Duration Length, std::uint64_t Seed);
+BenchRow runIdeal(const Deployment &Site, const LoadSpec &Load, Duration Length,
+                  std::uint64_t Seed);
 
 Quantiles quantilesOf(std::vector<double> Values);
 
--- a/bench/slopes_main.cpp
+++ b/bench/slopes_main.cpp
@@ -55,13 +55,13 @@
   std::uint64_t Bytes = 0;
 };
 
-class NoOutcomes final : public OutcomeSink, public JobObserver {
+class NullOutcomeSink final : public OutcomeSink, public JobObserver {
 public:
   void onOutcome(Ticket, const peer::JobOutcome *) override {}
   void onJobEnded(const Job &, std::uint32_t, TimePoint) override {}
 };
 
-class NoRunner final : public TaskRunner {
+class NullRunner final : public TaskRunner {
 public:
   void start(const TaskKey &, const std::string &,
              const std::string &) override {}
@@ -105,7 +105,7 @@
 
 void agentTasks(std::size_t Count) {
   CountingSink Sink;
-  NoRunner Runner;
+  NullRunner Runner;
   AgentOptions Options;
   Options.Name = "a0";
   Options.Incarnation = 1;
@@ -171,8 +171,8 @@
 void entryTasks(std::size_t Upstreams, std::size_t Jobs,
                 std::size_t TasksEach) {
   CountingSink Sink;
-  NoOutcomes Hears;
-  JobService Service(serviceOptions(), Sink, Hears, Hears);
+  NullOutcomeSink Ignored;
+  JobService Service(serviceOptions(), Sink, Ignored, Ignored);
   auto View = std::make_shared<CatalogView>(viewWithGroup());
   peer::Parameters &Limits = *View->Workspaces["bids"].mutable_parameters();
   Limits.set_capacity(1000000);
--- a/bench/workload.cpp
+++ b/bench/workload.cpp
@@ -12,24 +12,24 @@
 // Most tasks take 50 ms to a second, a few take several seconds.
 constexpr double MedianServiceUs = 180000;
 constexpr double ServiceSpread = 0.7;
-constexpr double ShortestUs = 50000;
-constexpr double LongestUs = 1000000;
-constexpr double FewShare = 0.02;
-constexpr double FewShortestUs = 2000000;
-constexpr double FewLongestUs = 5000000;
+constexpr double MinServiceUs = 50000;
+constexpr double MaxServiceUs = 1000000;
+constexpr double LongTaskShare = 0.02;
+constexpr double MinLongTaskUs = 2000000;
+constexpr double MaxLongTaskUs = 5000000;
 constexpr double StragglerShare = 0.01;
 constexpr double StragglerFactor = 10;
 constexpr double WholePercent = 100;
 constexpr double MicrosPerSecond = 1e6;
 /// In a burst, jobs come at this multiple of the load's mean.
 constexpr double BurstFactor = 2.5;
-constexpr Duration BurstEvery{5000000};
+constexpr Duration BurstInterval{5000000};
 constexpr Duration BurstLength{1000000};
 
 class JobMaker {
 public:
-  JobMaker(const Deployment &Place, const LoadSpec &Load, std::uint64_t Seed)
-      : Place(Place), Load(Load), Random(Seed) {}
+  JobMaker(const Deployment &Site, const LoadSpec &Load, std::uint64_t Seed)
+      : Site(Site), Load(Load), Random(Seed) {}
 
   std::vector<JobPlan> make(Duration Length) {
     std::vector<JobPlan> Jobs;
@@ -50,9 +50,9 @@
   /// Mean of drawService(), found once by drawing from a fixed seed.
   static double meanService() {
     static const double Mean = [] {
-      Deployment Place;
+      Deployment Site;
       LoadSpec Load;
-      JobMaker Sample(Place, Load, 1);
+      JobMaker Sample(Site, Load, 1);
       constexpr int Draws = 200000;
       double Total = 0;
       for (int I = 0; I < Draws; ++I)
@@ -63,21 +63,21 @@
   }
 
   double drawService() {
-    if (this->uniform() < FewShare)
-      return FewShortestUs + this->uniform() * (FewLongestUs - FewShortestUs);
+    if (this->uniform() < LongTaskShare)
+      return MinLongTaskUs + this->uniform() * (MaxLongTaskUs - MinLongTaskUs);
     std::lognormal_distribution<double> Usual(std::log(MedianServiceUs),
                                               ServiceSpread);
-    return std::clamp(Usual(this->Random), ShortestUs, LongestUs);
+    return std::clamp(Usual(this->Random), MinServiceUs, MaxServiceUs);
   }
 
   Duration nextGap(Duration Now) {
-    double Work = meanService() * this->Place.MeanTasks;
-    double Rate = this->Load.Percent / WholePercent * this->Place.totalSlots() /
+    double Work = meanService() * this->Site.MeanTasks;
+    double Rate = this->Load.Percent / WholePercent * this->Site.totalSlots() /
                   Work * MicrosPerSecond;
     if (this->Load.Bursts) {
-      bool InBurst = Now % BurstEvery < BurstLength;
+      bool InBurst = Now % BurstInterval < BurstLength;
       double Share = static_cast<double>(BurstLength.count()) /
-                     static_cast<double>(BurstEvery.count());
+                     static_cast<double>(BurstInterval.count());
       double Quiet = (1 - BurstFactor * Share) / (1 - Share);
       Rate *= InBurst ? BurstFactor : Quiet;
     }
@@ -88,14 +88,14 @@
   JobPlan makeJob(Duration Now, Duration Length) {
     JobPlan Job;
     Job.At = Now;
-    Job.Entry = this->Random() % this->Place.Entries;
-    std::geometric_distribution<int> Size(1 / this->Place.MeanTasks);
+    Job.Entry = this->Random() % this->Site.Entries;
+    std::geometric_distribution<int> Size(1 / this->Site.MeanTasks);
     int Tasks = Size(this->Random) + 1;
     for (int I = 0; I < Tasks; ++I)
       Job.Tasks.push_back(this->makeTask());
     Duration Wave = Length / 2;
-    constexpr Duration WaveReach{3000000};
-    bool Near = Now < Wave && Now + WaveReach > Wave;
+    constexpr Duration WavePeriod{3000000};
+    bool Near = Now < Wave && Now + WavePeriod > Wave;
     if (this->Load.CancelWave && Near && this->Random() % 3 != 0)
       Job.CancelAt = Wave;
     return Job;
@@ -112,7 +112,7 @@
             Duration(static_cast<std::int64_t>(Declared))};
   }
 
-  const Deployment &Place;
+  const Deployment &Site;
   const LoadSpec &Load;
   std::mt19937_64 Random;
 };
@@ -120,19 +120,19 @@
 } // namespace
 
 Deployment tradingUnit() {
-  Deployment Place;
-  Place.Name = "trading";
-  return Place;
+  Deployment Site;
+  Site.Name = "trading";
+  return Site;
 }
 
 Deployment skyArchive() {
-  Deployment Place;
-  Place.Name = "archive";
-  Place.DataCentres = 4;
-  Place.FarDelay = Duration(1500);
+  Deployment Site;
+  Site.Name = "archive";
+  Site.DataCentres = 4;
+  Site.FarDelay = Duration(1500);
   constexpr double ArchiveMeanTasks = 8;
-  Place.MeanTasks = ArchiveMeanTasks;
-  return Place;
+  Site.MeanTasks = ArchiveMeanTasks;
+  return Site;
 }
 
 const std::vector<LoadSpec> &allLoads() {
@@ -164,9 +164,9 @@
       [](Duration Sum, const TaskPlan &Task) { return Sum + Task.Service; });
 }
 
-std::vector<JobPlan> makeJobs(const Deployment &Place, const LoadSpec &Load,
+std::vector<JobPlan> makeJobs(const Deployment &Site, const LoadSpec &Load,
                               Duration Length, std::uint64_t Seed) {
-  return JobMaker(Place, Load, Seed).make(Length);
+  return JobMaker(Site, Load, Seed).make(Length);
 }
 
 } // namespace yardwheel
--- a/bench/workload.h
+++ b/bench/workload.h
@@ -76,7 +76,7 @@
 };
 
 /// Jobs that arrive within \p Length, in order.
-std::vector<JobPlan> makeJobs(const Deployment &Place, const LoadSpec &Load,
+std::vector<JobPlan> makeJobs(const Deployment &Site, const LoadSpec &Load,
                               Duration Length, std::uint64_t Seed);
 
 } // namespace yardwheel
--- a/emulator/leased_agent.cpp
+++ b/emulator/leased_agent.cpp
@@ -18,7 +18,7 @@
 /// Difference between the incarnation numbers of two consecutive processes of
 /// an agent. Every worker restart that a process sees takes a number too, so
 /// the difference is larger than their count.
-constexpr std::uint64_t LifeStep = 1000;
+constexpr std::uint64_t IncarnationStep = 1000;
 
 } // namespace
 
@@ -32,13 +32,13 @@
       this->Keeper->onProfile(Profile, this->World.now());
     });
   });
-  this->beginLife();
+  this->startIncarnation();
   this->announceWorker();
 }
 
 void LeasedAgent::restart() {
   // The agent learns of its worker from the next announcement.
-  this->beginLife();
+  this->startIncarnation();
 }
 
 void LeasedAgent::crashWorker(std::chrono::milliseconds RestartAfter,
@@ -54,10 +54,10 @@
   });
 }
 
-void LeasedAgent::beginLife() {
-  ++this->Life;
+void LeasedAgent::startIncarnation() {
+  ++this->Incarnation;
   KeeperOptions Options = this->Options.Keeper;
-  Options.Incarnation = 1 + (this->Life - 1) * LifeStep;
+  Options.Incarnation = 1 + (this->Incarnation - 1) * IncarnationStep;
   this->Attached = {};
   this->Keeper = std::make_unique<LeaseKeeper>(
       Options, this->World.sinkOf(this->Name), *this);
@@ -87,7 +87,7 @@
   Member.set_incarnation(this->Keeper->incarnation());
   Member.set_address(this->Name);
   Member.set_pool(this->Options.Pool);
-  Member.mutable_room()->set_cpu_milli(this->Options.Worker.RoomMilli);
+  Member.mutable_room()->set_cpu_milli(this->Options.Worker.CapacityMilliCores);
   Member.mutable_room()->set_memory_mb(UINT32_MAX);
   Member.set_state(peer::MEMBER_ALIVE);
   return Member;
@@ -100,10 +100,10 @@
                       this->Faults.UnansweredPermille +
                       this->Faults.LatePermille;
   if (Sum == 0)
-    return CallFate::Carried;
+    return CallFate::Executed;
   auto Drawn = static_cast<std::uint32_t>(this->Random() % WholePermille);
   if (Drawn >= Sum)
-    return CallFate::Carried;
+    return CallFate::Executed;
   if (Drawn < this->Faults.LostPermille)
     return CallFate::Lost;
   Drawn -= this->Faults.LostPermille;
@@ -112,22 +112,23 @@
 }
 
 LeasedAgent::Answer LeasedAgent::replyToThisLife(const Answer &Take) {
-  return [this, Take, Life = this->Life](const WorkerReply &Reply) {
-    this->World.after(WorkerDelay, [this, Take, Life, Reply] {
-      // Connections end with the process that opened them.
-      if (Life == this->Life)
-        this->World.runOn(this->Name, [Take, Reply] { Take(Reply); });
-    });
-  };
+  return
+      [this, Take, Incarnation = this->Incarnation](const WorkerReply &Reply) {
+        this->World.after(WorkerDelay, [this, Take, Incarnation, Reply] {
+          // Connections end with the process that opened them.
+          if (Incarnation == this->Incarnation)
+            this->World.runOn(this->Name, [Take, Reply] { Take(Reply); });
+        });
+      };
 }
 
 void LeasedAgent::call(std::chrono::milliseconds Timeout,
-                       const std::function<void(const Answer &Reply)> &CarryOut,
+                       const std::function<void(const Answer &Reply)> &Execute,
                        const Answer &Take) {
   Answer Reply = this->replyToThisLife(Take);
   CallFate Fate = this->drawCallFate();
-  if (Fate == CallFate::Carried) {
-    this->World.after(WorkerDelay, [CarryOut, Reply] { CarryOut(Reply); });
+  if (Fate == CallFate::Executed) {
+    this->World.after(WorkerDelay, [Execute, Reply] { Execute(Reply); });
     return;
   }
   this->World.after(Timeout, [Reply] { Reply(WorkerReply()); });
@@ -138,17 +139,17 @@
                                       (MaxLateDelay - MinLateDelay).count());
   if (Fate != CallFate::Lost)
     this->World.after(Delay,
-                      [CarryOut] { CarryOut([](const WorkerReply &) {}); });
+                      [Execute] { Execute([](const WorkerReply &) {}); });
 }
 
 void LeasedAgent::start(const StartCall &Call) {
   this->call(
       CallTimeout,
-      [this, Call, Life = this->Attached](const Answer &Reply) {
-        Reply(this->Worker.start(Life.Id, Call));
+      [this, Call, Incarnation = this->Attached](const Answer &Reply) {
+        Reply(this->Worker.start(Incarnation.Id, Call));
       },
-      [this, Call, Life = this->Attached](const WorkerReply &Reply) {
-        this->Keeper->session().onStartReply(Life, Call.Run, Reply,
+      [this, Call, Incarnation = this->Attached](const WorkerReply &Reply) {
+        this->Keeper->session().onStartReply(Incarnation, Call.Run, Reply,
                                              this->World.now());
       });
 }
@@ -156,11 +157,11 @@
 void LeasedAgent::stop(const StopCall &Call) {
   this->call(
       CallTimeout,
-      [this, Call, Life = this->Attached](const Answer &Reply) {
-        Reply(this->Worker.stop(Life.Id, Call));
+      [this, Call, Incarnation = this->Attached](const Answer &Reply) {
+        Reply(this->Worker.stop(Incarnation.Id, Call));
       },
-      [this, Call, Life = this->Attached](const WorkerReply &Reply) {
-        this->Keeper->session().onStopReply(Life, Call.Run, Reply,
+      [this, Call, Incarnation = this->Attached](const WorkerReply &Reply) {
+        this->Keeper->session().onStopReply(Incarnation, Call.Run, Reply,
                                             this->World.now());
       });
 }
@@ -168,11 +169,12 @@
 void LeasedAgent::hold(const HoldCall &Call) {
   this->call(
       Call.Wait + HoldSlack,
-      [this, Call, Life = this->Attached](const Answer &Reply) {
-        this->Worker.hold(Life.Id, Call, Reply);
+      [this, Call, Incarnation = this->Attached](const Answer &Reply) {
+        this->Worker.hold(Incarnation.Id, Call, Reply);
       },
-      [this, Life = this->Attached](const WorkerReply &Reply) {
-        this->Keeper->session().onHoldReply(Life, Reply, this->World.now());
+      [this, Incarnation = this->Attached](const WorkerReply &Reply) {
+        this->Keeper->session().onHoldReply(Incarnation, Reply,
+                                            this->World.now());
       });
 }
 
--- a/emulator/leased_agent.h
+++ b/emulator/leased_agent.h
@@ -62,17 +62,17 @@
   void hold(const HoldCall &Call) override;
 
 private:
-  enum class CallFate { Carried, Lost, Unanswered, Late };
+  enum class CallFate { Executed, Lost, Unanswered, Late };
   using Answer = VirtualWorker::Answer;
 
-  void beginLife();
+  void startIncarnation();
   /// Announces the worker to this agent, now and every second.
   void announceWorker();
   CallFate drawCallFate();
-  /// Simulates a call: runs \p CarryOut at the worker and passes its reply to
+  /// Simulates a call: runs \p Execute at the worker and passes its reply to
   /// \p Take, or an empty reply after \p Timeout if a fault was drawn.
   void call(std::chrono::milliseconds Timeout,
-            const std::function<void(const Answer &Reply)> &CarryOut,
+            const std::function<void(const Answer &Reply)> &Execute,
             const Answer &Take);
   /// Returns a callback that passes a reply to \p Take only in the incarnation
   /// of this process that made the call.
@@ -85,7 +85,7 @@
   VirtualWorker Worker;
   /// The incarnation of the worker that the agent is attached to.
   WorkerIncarnation Attached;
-  std::uint64_t Life = 0;
+  std::uint64_t Incarnation = 0;
   WorkerCallFaults Faults;
   std::unique_ptr<LeaseKeeper> Keeper;
 };
--- a/emulator/leased_entry.cpp
+++ b/emulator/leased_entry.cpp
@@ -7,34 +7,34 @@
 namespace {
 
 /// A process that was not idle for this long counts as behind.
-constexpr std::chrono::milliseconds BehindAfter{100};
+constexpr std::chrono::milliseconds BehindThreshold{100};
 /// The retry delay in the answer to a request that was read too late.
 constexpr std::chrono::milliseconds RefusalRetry{300};
 /// Range of order numbers of one incarnation; far above the number of its
 /// placements.
-constexpr std::uint64_t OrdersOfOneLife = 1000000;
+constexpr std::uint64_t OrdersPerIncarnation = 1000000;
 
 } // namespace
 
 LeasedEntry::LeasedEntry(VirtualWorld &World, std::string Name,
                          const LeasedEntryOptions &Options)
     : World(World), Name(std::move(Name)), Options(Options), Processor(World),
-      Outlet(World.sinkOf(this->Name)) {
-  this->beginLife();
+      Sink(World.sinkOf(this->Name)) {
+  this->startIncarnation();
 }
 
-void LeasedEntry::beginLife() {
-  ++this->Life;
+void LeasedEntry::startIncarnation() {
+  ++this->Incarnation;
   CoordinatorOptions Options = this->Options.Coordinator;
-  Options.FirstOrder += (this->Life - 1) * OrdersOfOneLife;
-  Options.Seed += this->Life - 1;
+  Options.FirstOrder += (this->Incarnation - 1) * OrdersPerIncarnation;
+  Options.Seed += this->Incarnation - 1;
   this->Coordinator = std::make_unique<LeaseCoordinator>(Options, *this, *this);
   this->LastIdle = this->World.now().Steady;
   this->LastBehind = TimePoint::min();
-  this->World.start(
-      this->Name, [this](const PeerRef &From, const peer::Message &Message) {
-        this->runSoon([this, From, Message] { this->receive(From, Message); });
-      });
+  this->World.start(this->Name, [this](const PeerRef &From,
+                                       const peer::Message &Message) {
+    this->runWhenFree([this, From, Message] { this->receive(From, Message); });
+  });
   this->World.onSendFailed(this->Name, [this](const Undelivered &Lost) {
     this->Coordinator->noteBehind(this->lastBehind(), this->World.now());
     this->Coordinator->onUndelivered(Lost, this->World.now());
@@ -45,28 +45,29 @@
 void LeasedEntry::kill() {
   this->World.kill(this->Name);
   this->Unanswered.clear();
-  this->Taken.clear();
+  this->AcceptedJobs.clear();
   std::map<SubmissionId, Listener> Broken;
   std::swap(Broken, this->Callers);
-  for (const auto &[Which, Hear] : Broken)
-    Hear(std::nullopt);
+  for (const auto &[Which, OnAnswer] : Broken)
+    OnAnswer(std::nullopt);
 }
 
-void LeasedEntry::restart() { this->beginLife(); }
+void LeasedEntry::restart() { this->startIncarnation(); }
 
-void LeasedEntry::runSoon(std::function<void()> Action) {
-  this->Processor.run(this->Options.MessageCost,
-                      [this, Life = this->Life, Action = std::move(Action)] {
-                        if (Life == this->Life)
-                          this->World.runOn(this->Name, Action);
-                      });
+void LeasedEntry::runWhenFree(std::function<void()> Action) {
+  this->Processor.run(
+      this->Options.MessageCost,
+      [this, Incarnation = this->Incarnation, Action = std::move(Action)] {
+        if (Incarnation == this->Incarnation)
+          this->World.runOn(this->Name, Action);
+      });
 }
 
 // ---- The loop ----
 
 TimePoint LeasedEntry::lastBehind() const {
   TimePoint Now = this->World.now().Steady;
-  return Now - this->LastIdle > BehindAfter ? Now : this->LastBehind;
+  return Now - this->LastIdle > BehindThreshold ? Now : this->LastBehind;
 }
 
 void LeasedEntry::tick() {
@@ -83,12 +84,12 @@
 }
 
 void LeasedEntry::send(const PeerRef &To, peer::Message Message) {
-  this->runSoon([this, To, Message = std::move(Message)] {
-    this->Outlet.send(To, Message);
+  this->runWhenFree([this, To, Message = std::move(Message)] {
+    this->Sink.send(To, Message);
   });
 }
 
-void LeasedEntry::meet(const peer::Member &Agent) {
+void LeasedEntry::announceAgent(const peer::Member &Agent) {
   this->World.runOn(this->Name, [this, Agent] {
     this->Coordinator->onMember(Agent, this->World.now());
   });
@@ -97,24 +98,24 @@
 // ---- Callers ----
 
 void LeasedEntry::submitJob(SubmissionId Which, const LeasedJobRequest &Job,
-                            Listener Hear) {
+                            Listener OnAnswer) {
   if (!this->World.isUp(this->Name)) {
-    Hear(std::nullopt);
+    OnAnswer(std::nullopt);
     return;
   }
-  this->Callers[Which] = std::move(Hear);
-  this->runSoon([this, Which, Job] { this->read(Which, Job); });
+  this->Callers[Which] = std::move(OnAnswer);
+  this->runWhenFree([this, Which, Job] { this->read(Which, Job); });
 }
 
 void LeasedEntry::read(SubmissionId Which, const LeasedJobRequest &Job) {
   bool WasBehind = this->lastBehind() == this->World.now().Steady;
   if (WasBehind && !this->hasCaller(Which)) {
-    bool MayHaveRun = this->Taken.contains(Job.Id);
+    bool MayHaveRun = this->AcceptedJobs.contains(Job.Id);
     this->answer(Which, {MayHaveRun ? LeasedEnd::Unknown : LeasedEnd::NotRun,
                          "submit", "", "the caller has gone", RefusalRetry});
     return;
   }
-  this->Taken.insert(Job.Id);
+  this->AcceptedJobs.insert(Job.Id);
   this->handOver([this, Which, Job] {
     Instant Now = this->World.now();
     this->Unanswered[Which] = Job.Id;
@@ -125,9 +126,9 @@
 
 void LeasedEntry::handOver(const std::function<void()> &Action) {
   TimePoint Now = this->World.now().Steady;
-  bool AtOnce =
-      this->Options.HandOver.count() == 0 || this->World.random()() % 2 == 0;
-  TimePoint At = AtOnce ? Now : Now + this->Options.HandOver;
+  bool AtOnce = this->Options.HandOverDelay.count() == 0 ||
+                this->World.random()() % 2 == 0;
+  TimePoint At = AtOnce ? Now : Now + this->Options.HandOverDelay;
   // Requests keep their order.
   At = std::max(At, this->LastHandOver);
   this->LastHandOver = At;
@@ -135,8 +136,8 @@
     Action();
     return;
   }
-  this->World.after(At - Now, [this, Action, Life = this->Life] {
-    if (Life == this->Life)
+  this->World.after(At - Now, [this, Action, Incarnation = this->Incarnation] {
+    if (Incarnation == this->Incarnation)
       this->World.runOn(this->Name, Action);
   });
 }
@@ -167,7 +168,7 @@
     ++this->AnsweredTwice;
     return;
   }
-  this->runSoon([this, Ticket, Answer] { this->answer(Ticket, Answer); });
+  this->runWhenFree([this, Ticket, Answer] { this->answer(Ticket, Answer); });
 }
 
 void LeasedEntry::answer(SubmissionId Which, const LeasedAnswer &Answer) {
@@ -177,9 +178,9 @@
   // An answer counts only if a caller receives it.
   if (Answer.End == LeasedEnd::NotRun)
     this->NotRun.insert(Which);
-  Listener Hear = std::move(Found->second);
+  Listener OnAnswer = std::move(Found->second);
   this->Callers.erase(Found);
-  Hear(Answer);
+  OnAnswer(Answer);
 }
 
 } // namespace yardwheel
--- a/emulator/leased_entry.h
+++ b/emulator/leased_entry.h
@@ -32,7 +32,7 @@
   Duration MessageCost{0};
   /// Delay between reading a request and handing it over to the loop, for a
   /// random half of the requests. The process may stall in between.
-  Duration HandOver{0};
+  Duration HandOverDelay{0};
 };
 
 class LeasedEntry final : public LeasedAnswerSink, public PeerSink {
@@ -45,9 +45,9 @@
               const LeasedEntryOptions &Options);
 
   const std::string &name() const { return this->Name; }
-  void meet(const peer::Member &Agent);
+  void announceAgent(const peer::Member &Agent);
   void submitJob(SubmissionId Which, const LeasedJobRequest &Job,
-                 Listener Hear);
+                 Listener OnAnswer);
   /// Closes the caller's connection; it receives nothing more.
   void disconnect(SubmissionId Which);
   /// Kills the process, which closes all connections of callers.
@@ -70,9 +70,9 @@
   const std::set<SubmissionId> &notRun() const { return this->NotRun; }
 
 private:
-  void beginLife();
+  void startIncarnation();
   /// Runs \p Action on the current incarnation, when the processor is free.
-  void runSoon(std::function<void()> Action);
+  void runWhenFree(std::function<void()> Action);
   void receive(const PeerRef &From, const peer::Message &Message);
   void tick();
   /// Returns when this process was last behind, as its loop sees it.
@@ -87,8 +87,8 @@
   std::string Name;
   LeasedEntryOptions Options;
   VirtualProcessor Processor;
-  PeerSink &Outlet;
-  std::uint64_t Life = 0;
+  PeerSink &Sink;
+  std::uint64_t Incarnation = 0;
   std::unique_ptr<LeaseCoordinator> Coordinator;
   TimePoint LastIdle;
   TimePoint LastBehind = TimePoint::min();
@@ -98,7 +98,7 @@
   /// Submissions that the coordinator has to answer, with their job ids.
   std::map<SubmissionId, std::string> Unanswered;
   /// Ids of the jobs that were accepted.
-  std::set<std::string> Taken;
+  std::set<std::string> AcceptedJobs;
   std::set<SubmissionId> NotRun;
   std::uint32_t AnsweredTwice = 0;
 };
--- a/emulator/leased_world.cpp
+++ b/emulator/leased_world.cpp
@@ -19,7 +19,7 @@
   Own.Coordinator.Seed = Options.Seed + Which;
   Own.Tick = Options.Tick;
   Own.MessageCost = Options.EntryMessageCost;
-  Own.HandOver = Options.EntryHandOver;
+  Own.HandOverDelay = Options.EntryHandOverDelay;
   return Own;
 }
 
@@ -31,7 +31,8 @@
   Own.Keeper = Options.Keeper;
   Own.Worker.RestartAfter = Options.RestartAfter;
   Own.Worker.KeepsId = Options.WorkersKeepId;
-  Own.Worker.RoomMilli = Options.RoomsMilli[Which % Options.RoomsMilli.size()];
+  Own.Worker.CapacityMilliCores =
+      Options.CapacitiesMilliCores[Which % Options.CapacitiesMilliCores.size()];
   Own.Seed = Options.Seed * Options.Agents + Which;
   return Own;
 }
@@ -48,22 +49,22 @@
     this->Entries.push_back(std::make_unique<LeasedEntry>(
         this->World, fmt::format("entry-{}", I), entryOptions(Options, I)));
     for (const auto &Agent : this->Agents)
-      this->Entries.back()->meet(Agent->member());
+      this->Entries.back()->announceAgent(Agent->member());
   }
   // Each entry asks each agent once before the load begins.
   this->World.run(Options.WarmUp);
-  this->Begun = this->World.now().Steady;
+  this->LoadStart = this->World.now().Steady;
 }
 
 SubmissionId
 LeasedWorld::submitJob(std::size_t Entry, LeasedJobRequest Job,
                        const std::vector<std::chrono::milliseconds> &Lengths,
-                       LeasedEntry::Listener Hear) {
+                       LeasedEntry::Listener OnAnswer) {
   SubmissionId Which = ++this->LastSubmission;
   Job.Pool = PoolName;
   Job.TaskCount = static_cast<std::uint32_t>(Lengths.size());
   Job.Spec = specOf(Which, Lengths);
-  this->Entries.at(Entry)->submitJob(Which, Job, std::move(Hear));
+  this->Entries.at(Entry)->submitJob(Which, Job, std::move(OnAnswer));
   return Which;
 }
 
@@ -71,7 +72,7 @@
                          const std::vector<std::chrono::milliseconds> &Lengths,
                          std::chrono::milliseconds LateAfter) {
   std::string Route = Job.Route;
-  ++this->Outcomes[Route].Asked;
+  ++this->Outcomes[Route].Submitted;
   TimePoint Due = this->World.now().Steady + LateAfter;
   this->submitJob(
       Entry, std::move(Job), Lengths,
@@ -84,7 +85,7 @@
 void LeasedWorld::restartEntry(std::size_t Which) {
   this->Entries.at(Which)->restart();
   for (const auto &Agent : this->Agents)
-    this->Entries.at(Which)->meet(Agent->member());
+    this->Entries.at(Which)->announceAgent(Agent->member());
 }
 
 void LeasedWorld::restartAgent(std::size_t Which) {
@@ -94,14 +95,15 @@
     auto Delay = std::chrono::milliseconds(static_cast<std::int64_t>(
         this->World.random()() % MaxMemberUpdateDelay.count()));
     this->World.after(Delay, [&Entry = *Entry, Member = Agent.member()] {
-      Entry.meet(Member);
+      Entry.announceAgent(Member);
     });
   }
 }
 
 EntryEffort LeasedWorld::effort() const {
   EntryEffort Effort;
-  std::chrono::duration<double> Passed = this->World.now().Steady - this->Begun;
+  std::chrono::duration<double> Passed =
+      this->World.now().Steady - this->LoadStart;
   for (const auto &Entry : this->Entries) {
     Effort.TasksSent += Entry->counters().TasksSent;
     Effort.TasksRefused += Entry->counters().TasksRefused;
--- a/emulator/leased_world.h
+++ b/emulator/leased_world.h
@@ -27,7 +27,7 @@
   std::size_t Entries = 3;
   std::size_t Agents = 9;
   /// Capacities of the workers, assigned in turn, in thousandths of a core.
-  std::vector<std::uint32_t> RoomsMilli = {64000};
+  std::vector<std::uint32_t> CapacitiesMilliCores = {64000};
   CoordinatorOptions Coordinator;
   KeeperOptions Keeper;
   /// Interval between the ticks of each process.
@@ -38,7 +38,7 @@
   Duration EntryMessageCost{0};
   /// Delay between reading a request at an entry and handing it over to the
   /// loop, see LeasedEntryOptions.
-  Duration EntryHandOver{0};
+  Duration EntryHandOverDelay{0};
   /// Time before the load begins, in which each entry asks each agent once.
   std::chrono::milliseconds WarmUp{200};
   /// Time from a worker's crash until it starts again, as a new incarnation.
@@ -58,13 +58,14 @@
 
 /// Numbers of the jobs of one route, by outcome.
 struct RouteOutcome {
-  std::uint32_t Asked = 0;
+  std::uint32_t Submitted = 0;
   std::uint32_t InTime = 0;
   std::uint32_t Late = 0;
   std::uint32_t Refused = 0;
   std::uint32_t Failed = 0;
   double inTimeShare() const {
-    return this->Asked == 0 ? 1 : static_cast<double>(this->InTime) / Asked;
+    return this->Submitted == 0 ? 1
+                                : static_cast<double>(this->InTime) / Submitted;
   }
 };
 
@@ -90,7 +91,7 @@
   /// Submits a job for a caller that handles the answer itself through \p Hear.
   SubmissionId submitJob(std::size_t Entry, LeasedJobRequest Job,
                          const std::vector<std::chrono::milliseconds> &Lengths,
-                         LeasedEntry::Listener Hear);
+                         LeasedEntry::Listener OnAnswer);
   /// Returns the id that the next submission gets.
   SubmissionId nextSubmission() const { return this->LastSubmission + 1; }
   /// Starts a new incarnation of a killed entry and announces all agents to it.
@@ -104,17 +105,19 @@
   }
   EntryEffort effort() const;
   const RunRegister &runs() const { return this->Runs; }
-  std::uint32_t overlappingRuns() const { return this->Runs.doubled(); }
+  std::uint32_t overlappingRuns() const {
+    return this->Runs.overlappingStarts();
+  }
   CrashStats crashStats() const { return this->Runs.crashStats(); }
   /// Returns the time at which the warm-up was over.
-  TimePoint begun() const { return this->Begun; }
+  TimePoint loadStart() const { return this->LoadStart; }
 
 private:
   void onEnded(const std::string &Route, bool InTime, LeasedEnd End);
 
   VirtualWorld World;
   RunRegister Runs;
-  TimePoint Begun;
+  TimePoint LoadStart;
   SubmissionId LastSubmission = 0;
   std::vector<std::unique_ptr<LeasedEntry>> Entries;
   std::vector<std::unique_ptr<LeasedAgent>> Agents;
--- a/emulator/mixed_load.cpp
+++ b/emulator/mixed_load.cpp
@@ -11,11 +11,11 @@
 constexpr double CpuSpread = 0.2;
 /// A caller counts a job as late after this factor times its longest task plus
 /// Allowance.
-constexpr double Stretch = 1.6;
-constexpr std::chrono::milliseconds Allowance{60};
+constexpr double LateFactor = 1.6;
+constexpr std::chrono::milliseconds LateAllowance{60};
 constexpr std::chrono::milliseconds Deadline{6000};
 /// Time after the load, in which the last accepted jobs end.
-constexpr std::chrono::milliseconds Drained{7000};
+constexpr std::chrono::milliseconds DrainTime{7000};
 /// The value of a late answer, relative to one in time.
 constexpr double LateCredit = 0.2;
 
@@ -60,7 +60,7 @@
       Options.MeanTaskCpu * Spread(CpuSpread).draw(Random)));
   Request.Estimate = times(Mean, Declared.draw(Random));
   Request.MaxAttempts = 3;
-  Request.Objective = times(Request.Estimate, Stretch) + Allowance;
+  Request.Objective = times(Request.Estimate, LateFactor) + LateAllowance;
   Request.Deadline = Deadline;
   return Drawn;
 }
@@ -70,8 +70,8 @@
                    std::chrono::duration<double> At) {
   double Factor = 1;
   for (const LoadBurst &Burst : Options.Bursts) {
-    bool Concerned = Burst.Route.empty() || Burst.Route == Kind.Route;
-    if (Concerned && At >= Burst.Begins && At < Burst.Begins + Burst.Lasts)
+    bool Applies = Burst.Route.empty() || Burst.Route == Kind.Route;
+    if (Applies && At >= Burst.Begins && At < Burst.Begins + Burst.Lasts)
       Factor *= Burst.Factor;
   }
   return Factor;
@@ -124,7 +124,7 @@
   Options.Callers = 88;
   Options.World.Entries = 51;
   Options.World.Agents = 240;
-  Options.World.RoomsMilli = {16000, 16000, 24000};
+  Options.World.CapacitiesMilliCores = {16000, 16000, 24000};
   // An entry of a small deployment uses 0.47 core-ms for a job and its eight
   // messages, so a message takes 60 us of a core; at 0.12 of a core that is
   // 500 us.
@@ -134,7 +134,7 @@
   return Options;
 }
 
-MixedOutcome playMixed(const MixedLoadOptions &Options) {
+MixedOutcome runMixedLoad(const MixedLoadOptions &Options) {
   LeasedWorld World(Options.World);
   World.world().setFaults(Options.Faults);
   std::mt19937_64 Random(Options.World.Seed);
@@ -152,25 +152,25 @@
       DrawnJob Drawn = drawJob(Kind, ++Number, Options, Random);
       std::chrono::milliseconds Longest =
           *std::max_element(Drawn.Lengths.begin(), Drawn.Lengths.end());
-      World.world().after(std::chrono::duration_cast<Duration>(At),
-                          [&World, Drawn, Where = Entry.draw(Random),
-                           DueAfter = times(Longest, Stretch) + Allowance] {
-                            World.submit(Where, Drawn.Request, Drawn.Lengths,
-                                         DueAfter);
-                          });
+      World.world().after(
+          std::chrono::duration_cast<Duration>(At),
+          [&World, Drawn, Where = Entry.draw(Random),
+           DueAfter = times(Longest, LateFactor) + LateAllowance] {
+            World.submit(Where, Drawn.Request, Drawn.Lengths, DueAfter);
+          });
     }
   }
   World.world().run(Options.Lasts);
   EntryEffort Effort = World.effort();
-  World.world().run(Drained);
+  World.world().run(DrainTime);
   return {World.outcomes(), World.overlappingRuns(), Effort};
 }
 
-double creditOf(const std::map<std::string, RouteOutcome> &Routes) {
+double meanCredit(const std::map<std::string, RouteOutcome> &Routes) {
   double Sum = 0;
   for (const auto &[Route, Seen] : Routes)
     Sum += (Seen.InTime + LateCredit * Seen.Late) /
-           std::max<double>(Seen.Asked, 1);
+           std::max<double>(Seen.Submitted, 1);
   return Routes.empty() ? 0 : Sum / static_cast<double>(Routes.size());
 }
 
--- a/emulator/mixed_load.h
+++ b/emulator/mixed_load.h
@@ -27,8 +27,8 @@
 };
 
 /// Wide jobs of short tasks, narrow jobs of longer ones, and some jobs that
-/// last nearly a second. All kinds together have the same weight each; their
-/// load is nine tenths of the capacity of nine workers.
+/// last nearly a second. The jobs of each kind are worth the same in total.
+/// Together they use nine tenths of the capacity of nine workers.
 const std::vector<JobKind> &mixedKinds();
 
 /// The same kinds, at rates that use three fifths of the capacity of 240
@@ -78,11 +78,11 @@
 };
 
 /// Runs the load and returns the outcomes of each kind.
-MixedOutcome playMixed(const MixedLoadOptions &Options);
+MixedOutcome runMixedLoad(const MixedLoadOptions &Options);
 
 /// Returns the mean credit of a job, averaged over the kinds: a job answered in
 /// time earns 1, a late one a fifth.
-double creditOf(const std::map<std::string, RouteOutcome> &Routes);
+double meanCredit(const std::map<std::string, RouteOutcome> &Routes);
 
 } // namespace yardwheel
 
--- a/emulator/persistent_caller.cpp
+++ b/emulator/persistent_caller.cpp
@@ -19,10 +19,10 @@
     : World(World), Job(std::move(Job)), Lengths(std::move(Lengths)),
       Options(Options), Entry(World.world().random()() % World.entries()) {}
 
-void PersistentCaller::note(const std::string &What) {
+void PersistentCaller::logEvent(const std::string &What) {
   this->Log += fmt::format(
       "  {} ms: {} {}\n",
-      millisBetween(this->World.begun(), this->World.world().now().Steady),
+      millisBetween(this->World.loadStart(), this->World.world().now().Steady),
       this->Job.Id, What);
 }
 
@@ -54,12 +54,12 @@
   // The answer may arrive within the call.
   SubmissionId Next = this->World.nextSubmission();
   this->Current = Next;
-  this->note(fmt::format("handed in as {} at entry-{}", Next, this->Entry));
+  this->logEvent(fmt::format("handed in as {} at entry-{}", Next, this->Entry));
   this->World.submitJob(
       this->Entry, this->Job, this->Lengths,
       [this, Next](const std::optional<LeasedAnswer> &Answer) {
         if (this->Waits && this->Current == Next)
-          this->hear(Answer);
+          this->onAnswer(Answer);
       });
   this->World.world().after(
       std::min(this->Job.Deadline, this->Options.Patience), [this, Next] {
@@ -69,21 +69,22 @@
 }
 
 void PersistentCaller::disconnect() {
-  this->note(fmt::format("closes {}: no answer in time", this->Current));
+  this->logEvent(fmt::format("closes {}: no answer in time", this->Current));
   this->Waits = false;
   this->World.entry(this->Entry).disconnect(this->Current);
   this->tryAgainAfter(this->Options.ResubmitAfter);
 }
 
-void PersistentCaller::hear(const std::optional<LeasedAnswer> &Answer) {
+void PersistentCaller::onAnswer(const std::optional<LeasedAnswer> &Answer) {
   this->Waits = false;
   if (!Answer) {
-    this->note("lost its connection");
+    this->logEvent("lost its connection");
     this->tryAgainAfter(this->Options.ResubmitAfter);
     return;
   }
-  this->note(fmt::format("{} answered {} ({}: {})", this->Current,
-                         endName(Answer->End), Answer->Step, Answer->Reason));
+  this->logEvent(fmt::format("{} answered {} ({}: {})", this->Current,
+                             endName(Answer->End), Answer->Step,
+                             Answer->Reason));
   switch (Answer->End) {
   case LeasedEnd::Unknown:
     this->tryAgainAfter(this->Options.ResubmitAfter);
--- a/emulator/persistent_caller.h
+++ b/emulator/persistent_caller.h
@@ -3,8 +3,8 @@
 /// \file
 /// A caller that submits one job and resubmits it when it was not run. When it
 /// is unknown whether the job was run (the answer says so, the entry died, or
-/// no answer came in time), the caller first waits for the time that the
-/// contract with callers demands.
+/// no answer came in time), the caller first waits for the time that
+/// callers are required to wait.
 ///
 //===----------------------------------------------------------------------===//
 #ifndef YARDWHEEL_EMULATOR_PERSISTENT_CALLER_H
@@ -45,11 +45,11 @@
 private:
   void tryOnce();
   void tryAgainAfter(std::chrono::milliseconds Delay);
-  void hear(const std::optional<LeasedAnswer> &Answer);
+  void onAnswer(const std::optional<LeasedAnswer> &Answer);
   void disconnect();
   /// Draws an entry other than the one tried last.
   std::size_t otherEntry();
-  void note(const std::string &What);
+  void logEvent(const std::string &What);
 
   LeasedWorld &World;
   LeasedJobRequest Job;
--- a/emulator/run_register.cpp
+++ b/emulator/run_register.cpp
@@ -12,11 +12,11 @@
   if (std::ranges::any_of(Known, [](const RunRegister::Run &Each) {
         return Each.Ended == TimePoint::max();
       })) {
-    ++this->Doubled;
-    this->DoubledTasks.insert(Task);
+    ++this->OverlappingStarts;
+    this->OverlappingTasks.insert(Task);
   }
   Known.push_back({Worker, Run.Run, For, Now});
-  this->Begun.insert(For);
+  this->BegunSubmissions.insert(For);
 }
 
 void RunRegister::end(const std::string &Worker, const RunKey &Run,
@@ -34,7 +34,7 @@
 void RunRegister::noteCrash(const RunKey &Cause) {
   CrashCount &Count = this->CrashCounts[{Cause.Job, Cause.Index}];
   if (Count.Crashes >= 3)
-    ++Count.StartsAfterThree;
+    ++Count.StartsAfterThreeCrashes;
   ++Count.Crashes;
 }
 
@@ -45,14 +45,14 @@
     Toll.MaxCrashesOfOneTask =
         std::max(Toll.MaxCrashesOfOneTask, Count.Crashes);
     Toll.MaxStartsAfterThree =
-        std::max(Toll.MaxStartsAfterThree, Count.StartsAfterThree);
+        std::max(Toll.MaxStartsAfterThree, Count.StartsAfterThreeCrashes);
   }
   return Toll;
 }
 
 std::string RunRegister::describeOverlapping(TimePoint Since) const {
   std::string Text;
-  for (const TaskName &Task : this->DoubledTasks) {
+  for (const TaskName &Task : this->OverlappingTasks) {
     Text += fmt::format("{}/{}:\n", Task.first, Task.second);
     for (const Run &Each : this->Runs.at(Task)) {
       bool Alive = Each.Ended == TimePoint::max();
--- a/emulator/run_register.h
+++ b/emulator/run_register.h
@@ -45,10 +45,10 @@
 
   /// Counts the starts of a task while another run of it was alive, at any
   /// worker.
-  std::uint32_t doubled() const { return this->Doubled; }
+  std::uint32_t overlappingStarts() const { return this->OverlappingStarts; }
   /// Returns whether a run of this submission has ever begun.
   bool hasBegun(SubmissionId Which) const {
-    return this->Begun.contains(Which);
+    return this->BegunSubmissions.contains(Which);
   }
   CrashStats crashStats() const;
   /// Returns a line for each run of the tasks that had two runs at once, with
@@ -67,14 +67,14 @@
   };
   struct CrashCount {
     std::uint32_t Crashes = 0;
-    std::uint32_t StartsAfterThree = 0;
+    std::uint32_t StartsAfterThreeCrashes = 0;
   };
 
   std::map<TaskName, std::vector<Run>> Runs;
-  std::set<TaskName> DoubledTasks;
-  std::set<SubmissionId> Begun;
+  std::set<TaskName> OverlappingTasks;
+  std::set<SubmissionId> BegunSubmissions;
   std::map<TaskName, CrashCount> CrashCounts;
-  std::uint32_t Doubled = 0;
+  std::uint32_t OverlappingStarts = 0;
 };
 
 } // namespace yardwheel
--- a/emulator/virtual_cluster.cpp
+++ b/emulator/virtual_cluster.cpp
@@ -8,7 +8,7 @@
 namespace yardwheel {
 
 using virtual_cluster::Heartbeat;
-using virtual_cluster::Place;
+using virtual_cluster::WorkspaceName;
 
 VirtualCluster::VirtualCluster(ClusterOptions Options)
     : World(Options.Seed), Options(std::move(Options)) {
@@ -46,7 +46,7 @@
   Template.mutable_set_template()->set_name("t");
   peer::Change Workspace;
   Workspace.set_id("workspace");
-  Workspace.mutable_create_workspace()->set_name(Place);
+  Workspace.mutable_create_workspace()->set_name(WorkspaceName);
   Workspace.mutable_create_workspace()->set_template_name("t");
   peer::Parameters &Given =
       *Workspace.mutable_create_workspace()->mutable_parameters();
@@ -63,8 +63,8 @@
 std::shared_ptr<const CatalogView> VirtualCluster::fixedView() const {
   auto View = std::make_shared<CatalogView>();
   View->Revision = 1;
-  peer::Workspace &Workspace = View->Workspaces[Place];
-  Workspace.set_name(Place);
+  peer::Workspace &Workspace = View->Workspaces[WorkspaceName];
+  Workspace.set_name(WorkspaceName);
   *Workspace.mutable_parameters() = defaultParameters();
   Workspace.mutable_parameters()->set_policy(this->Options.Policy);
   Workspace.mutable_parameters()->set_queue_limit(this->Options.QueueLimit);
@@ -86,7 +86,7 @@
   Member.set_role(Role);
   Member.set_state(peer::MEMBER_ALIVE);
   Member.set_data_centre("z" + Name);
-  Member.set_pool(Place);
+  Member.set_pool(WorkspaceName);
   Member.set_slots(this->Options.Slots);
   Member.mutable_resources()->set_cpus(16);
   Member.mutable_resources()->set_memory_mb(1024);
@@ -109,7 +109,7 @@
   for (auto &[EntryName, Entry] : this->Entries) {
     for (auto &[Name, Agent] : this->Agents) {
       peer::Member Member = this->memberFor(Name, peer::ROLE_AGENT);
-      Member.set_incarnation(Agent->Life);
+      Member.set_incarnation(Agent->Incarnation);
       Member.set_freshness(Agent->Core.load(this->World.now()).freshness());
       Entry->Service.onMember(Member, this->World.now().Steady);
     }
@@ -121,7 +121,7 @@
 
 void VirtualCluster::announceLost(const std::string &Agent) {
   peer::Member Member = this->memberFor(Agent, peer::ROLE_AGENT);
-  Member.set_incarnation(this->Agents.at(Agent)->Life);
+  Member.set_incarnation(this->Agents.at(Agent)->Incarnation);
   Member.set_state(peer::MEMBER_LOST);
   for (auto &[Name, Entry] : this->Entries)
     Entry->Service.onMember(Member, this->World.now().Steady);
@@ -129,7 +129,7 @@
 
 void VirtualCluster::startEntry(const std::string &Name) {
   this->Entries[Name] =
-      std::make_unique<EntryNode>(*this, Name, this->nextLife());
+      std::make_unique<EntryNode>(*this, Name, this->nextIncarnation());
   this->World.start(
       Name, [this, Name](const PeerRef &From, const peer::Message &Message) {
         this->Entries[Name]->receive(From, Message);
@@ -145,7 +145,7 @@
 
 void VirtualCluster::startAgent(const std::string &Name) {
   this->Agents[Name] =
-      std::make_unique<AgentNode>(*this, Name, this->nextLife());
+      std::make_unique<AgentNode>(*this, Name, this->nextIncarnation());
   this->World.start(
       Name, [this, Name](const PeerRef &From, const peer::Message &Message) {
         this->Agents[Name]->receive(From, Message);
@@ -161,7 +161,7 @@
 
 void VirtualCluster::startControl(const std::string &Name) {
   this->Controls[Name] = std::make_unique<ControlNode>(
-      *this, Name, *this->Disks[Name], this->nextLife());
+      *this, Name, *this->Disks[Name], this->nextIncarnation());
   this->World.start(
       Name, [this, Name](const PeerRef &From, const peer::Message &Message) {
         this->Controls[Name]->receive(From, Message);
@@ -196,7 +196,7 @@
 JobRequest VirtualCluster::makeJob(const std::string &Id, std::size_t Tasks) {
   JobRequest Request;
   Request.Id = Id;
-  Request.Workspace = Place;
+  Request.Workspace = WorkspaceName;
   Request.FirstSubmitted = this->World.now().Wall;
   Request.Fingerprint = Tasks;
   Request.TimeLeft = std::chrono::seconds(20);
@@ -211,7 +211,7 @@
   this->Answers.push_back({Entry, Request.key()});
   this->Answers.back().SubmittedAt = this->World.now().Steady;
   if (this->World.isUp(Entry))
-    this->Answers.back().EntryLife = this->Entries[Entry]->Life;
+    this->Answers.back().EntryIncarnation = this->Entries[Entry]->Incarnation;
   if (this->World.isUp(Entry))
     this->Entries[Entry]->Service.submit(Request, Number, this->World.now());
   return Number;
@@ -226,8 +226,8 @@
   return Number;
 }
 
-void VirtualCluster::takeOutcome(std::size_t Number,
-                                 const peer::JobOutcome *Outcome) {
+void VirtualCluster::recordOutcome(std::size_t Number,
+                                   const peer::JobOutcome *Outcome) {
   Answer &Target = this->Answers[Number];
   Target.Done = true;
   Target.At = this->World.now().Steady;
@@ -253,17 +253,20 @@
     this->Violation = "said not run, but ran: " + Target.JobKey;
 }
 
-void VirtualCluster::noteStart(const std::string &Agent, const TaskKey &Task) {
+void VirtualCluster::recordStart(const std::string &Agent,
+                                 const TaskKey &Task) {
   ++this->Starts[Task];
   this->LastStart[Agent] = this->World.now().Steady;
 }
 
 std::size_t VirtualCluster::unanswered() const {
   std::size_t Total = 0;
-  for (const Answer &Heard : this->Answers) {
-    bool SameLife = Heard.EntryLife != 0 && this->World.isUp(Heard.Entry) &&
-                    this->Entries.at(Heard.Entry)->Life == Heard.EntryLife;
-    Total += SameLife && !Heard.Done ? 1 : 0;
+  for (const Answer &Received : this->Answers) {
+    bool SameLife = Received.EntryIncarnation != 0 &&
+                    this->World.isUp(Received.Entry) &&
+                    this->Entries.at(Received.Entry)->Incarnation ==
+                        Received.EntryIncarnation;
+    Total += SameLife && !Received.Done ? 1 : 0;
   }
   return Total;
 }
--- a/emulator/virtual_cluster.h
+++ b/emulator/virtual_cluster.h
@@ -66,7 +66,7 @@
   peer::JobOutcome Outcome;
   TimePoint SubmittedAt;
   /// The incarnation of the entry at the submission; 0 if it was down.
-  std::uint64_t EntryLife = 0;
+  std::uint64_t EntryIncarnation = 0;
   TimePoint At;
 };
 
@@ -130,14 +130,14 @@
   peer::Member memberFor(const std::string &Name, peer::Role Role) const;
   std::shared_ptr<const CatalogView> fixedView() const;
   AnnouncerOptions announcerOptions() const;
-  void takeOutcome(std::size_t Number, const peer::JobOutcome *Outcome);
-  void noteStart(const std::string &Agent, const TaskKey &Task);
+  void recordOutcome(std::size_t Number, const peer::JobOutcome *Outcome);
+  void recordStart(const std::string &Agent, const TaskKey &Task);
   void announceFixed();
-  std::uint64_t nextLife() { return ++this->Lives; }
+  std::uint64_t nextIncarnation() { return ++this->LastIncarnation; }
   peer::ReplicaSet bootstrap() const;
 
   ClusterOptions Options;
-  std::uint64_t Lives = 0;
+  std::uint64_t LastIncarnation = 0;
   std::map<std::string, std::unique_ptr<EntryNode>> Entries;
   std::map<std::string, std::unique_ptr<AgentNode>> Agents;
   std::map<std::string, std::unique_ptr<ControlNode>> Controls;
--- a/emulator/virtual_nodes.h
+++ b/emulator/virtual_nodes.h
@@ -16,7 +16,7 @@
 
 namespace virtual_cluster {
 
-constexpr std::chrono::milliseconds Allowance{100};
+constexpr std::chrono::milliseconds LateAllowance{100};
 constexpr std::chrono::milliseconds Retention{60000};
 constexpr std::chrono::milliseconds Heartbeat{200};
 constexpr std::chrono::milliseconds Lease{1000};
@@ -24,10 +24,10 @@
 constexpr std::chrono::milliseconds MaxUnconfirmed{2000};
 constexpr std::chrono::milliseconds SealWait{3500};
 
-inline const char *const Place = "bids";
+inline const char *const WorkspaceName = "bids";
 
 inline LedgerOptions ledgerOptions(bool RefuseUnknownPast) {
-  return {Retention, Allowance, RefuseUnknownPast};
+  return {Retention, LateAllowance, RefuseUnknownPast};
 }
 
 } // namespace virtual_cluster
@@ -39,14 +39,15 @@
                                         public AnnouncerEvents {
 public:
   EntryNode(VirtualCluster &Cluster, const std::string &Name,
-            std::uint64_t Life)
-      : Cluster(Cluster), Name(Name), Life(Life),
+            std::uint64_t Incarnation)
+      : Cluster(Cluster), Name(Name), Incarnation(Incarnation),
         Sink(Cluster.World.sinkOf(Name)),
-        Service(serviceOptions(Cluster, Name, Life), Sink, *this, *this) {
+        Service(serviceOptions(Cluster, Name, Incarnation), Sink, *this,
+                *this) {
     if (Cluster.Options.Controls == 0)
       return;
     peer::Member Self = Cluster.memberFor(Name, peer::ROLE_ENTRY);
-    Self.set_incarnation(Life);
+    Self.set_incarnation(Incarnation);
     this->Announce.emplace(Cluster.announcerOptions(), Self, this->Catalog,
                            this->Sink, *this);
   }
@@ -69,7 +70,7 @@
   }
 
   void onOutcome(Ticket Number, const peer::JobOutcome *Outcome) override {
-    this->Cluster.takeOutcome(Number, Outcome);
+    this->Cluster.recordOutcome(Number, Outcome);
   }
   void onJobEnded(const Job &, std::uint32_t, TimePoint) override {}
   void onConfirmed(TimePoint Asked) override { this->Service.confirm(Asked); }
@@ -82,26 +83,26 @@
 
   static ServiceOptions serviceOptions(const VirtualCluster &Cluster,
                                        const std::string &Name,
-                                       std::uint64_t Life) {
+                                       std::uint64_t Incarnation) {
     ServiceOptions Options;
     Options.Self.set_entry(Name);
     Options.Self.set_address(Name);
-    Options.Self.set_incarnation(Life);
-    Options.ClockAllowance = virtual_cluster::Allowance;
+    Options.Self.set_incarnation(Incarnation);
+    Options.ClockAllowance = virtual_cluster::LateAllowance;
     Options.LedgerRetention = virtual_cluster::Retention;
     Options.Claims.Timeout = std::chrono::milliseconds(1000);
     Options.MaxUnconfirmed = virtual_cluster::MaxUnconfirmed;
     Options.MaxJobs = 1000;
     Options.MaxAnswerBytes = Cluster.Options.MaxAnswerBytes;
     Options.ClaimsFirst = Cluster.Options.ClaimsFirst;
-    Options.Runner.Seed = Cluster.Options.Seed + Life;
+    Options.Runner.Seed = Cluster.Options.Seed + Incarnation;
     Options.Runner.ResendOnlyOnProof = Cluster.Options.ResendOnlyOnProof;
     return Options;
   }
 
   VirtualCluster &Cluster;
   std::string Name;
-  std::uint64_t Life;
+  std::uint64_t Incarnation;
   PeerSink &Sink;
   NodeCatalog Catalog;
   JobService Service;
@@ -114,14 +115,14 @@
                                         public AnnouncerEvents {
 public:
   AgentNode(VirtualCluster &Cluster, const std::string &Name,
-            std::uint64_t Life)
-      : Cluster(Cluster), Name(Name), Life(Life),
-        Core(agentOptions(Cluster, Name, Life), Cluster.World.sinkOf(Name),
-             *this) {
+            std::uint64_t Incarnation)
+      : Cluster(Cluster), Name(Name), Incarnation(Incarnation),
+        Core(agentOptions(Cluster, Name, Incarnation),
+             Cluster.World.sinkOf(Name), *this) {
     if (Cluster.Options.Controls == 0)
       return;
     peer::Member Self = Cluster.memberFor(Name, peer::ROLE_AGENT);
-    Self.set_incarnation(Life);
+    Self.set_incarnation(Incarnation);
     Self.set_freshness(this->Core.load(Cluster.World.now()).freshness());
     this->Announce.emplace(Cluster.announcerOptions(), Self, this->Catalog,
                            Cluster.World.sinkOf(Name), *this);
@@ -144,19 +145,19 @@
 
   void start(const TaskKey &Task, const std::string &,
              const std::string &Payload) override {
-    this->Cluster.noteStart(this->Name, Task);
+    this->Cluster.recordStart(this->Name, Task);
     // The upstream goes on when its agent dies; its answer is then dropped.
     VirtualCluster *Owner = &this->Cluster;
     TaskBehaviour Plan;
     if (Owner->Options.Behaviour)
       Plan = Owner->Options.Behaviour(this->Name, Payload);
-    Owner->World.after(
-        Plan.Service,
-        [Owner, Agent = this->Name, Started = this->Life, Task, Payload, Plan] {
-          const auto &Node = Owner->Agents.at(Agent);
-          if (Node->Life == Started && Owner->World.isUp(Agent))
-            Node->finishLater(Task, Payload, Plan);
-        });
+    Owner->World.after(Plan.Service, [Owner, Agent = this->Name,
+                                      Started = this->Incarnation, Task,
+                                      Payload, Plan] {
+      const auto &Node = Owner->Agents.at(Agent);
+      if (Node->Incarnation == Started && Owner->World.isUp(Agent))
+        Node->finishLater(Task, Payload, Plan);
+    });
   }
   void stop(const TaskKey &Task) override {
     TaskEnd End;
@@ -186,10 +187,10 @@
 
   static AgentOptions agentOptions(const VirtualCluster &Cluster,
                                    const std::string &Name,
-                                   std::uint64_t Life) {
+                                   std::uint64_t Incarnation) {
     AgentOptions Options;
     Options.Name = Name;
-    Options.Incarnation = Life;
+    Options.Incarnation = Incarnation;
     Options.Slots = Cluster.Options.Slots;
     Options.Freshness = virtual_cluster::Freshness;
     Options.Ledger =
@@ -201,7 +202,7 @@
 
   VirtualCluster &Cluster;
   std::string Name;
-  std::uint64_t Life;
+  std::uint64_t Incarnation;
   NodeCatalog Catalog;
   AgentCore Core;
   std::optional<Announcer> Announce;
@@ -212,9 +213,9 @@
 class VirtualCluster::ControlNode {
 public:
   ControlNode(VirtualCluster &Cluster, const std::string &Name,
-              LogStorage &Disk, std::uint64_t Life)
+              LogStorage &Disk, std::uint64_t Incarnation)
       : Cluster(Cluster),
-        Service(controlOptions(Cluster, Name, Life), Disk,
+        Service(controlOptions(Cluster, Name, Incarnation), Disk,
                 Cluster.World.sinkOf(Name), Cluster.World.now()) {}
 
   void receive(const PeerRef &From, const peer::Message &Message) {
@@ -224,12 +225,12 @@
 
   static ControlOptions controlOptions(const VirtualCluster &Cluster,
                                        const std::string &Name,
-                                       std::uint64_t Life) {
+                                       std::uint64_t Incarnation) {
     ControlOptions Options;
     Options.Raft.Name = Name;
     Options.Raft.ElectionTimeout = std::chrono::milliseconds(200);
     Options.Raft.EntriesPerSnapshot = 20;
-    Options.Raft.Seed = Cluster.Options.Seed * 1000 + Life;
+    Options.Raft.Seed = Cluster.Options.Seed * 1000 + Incarnation;
     Options.Lease = virtual_cluster::Lease;
     Options.ProposalTimeout = std::chrono::milliseconds(2000);
     Options.Groups.ReplaceAfter = Cluster.Options.ReplaceAfter;
--- a/emulator/virtual_worker.cpp
+++ b/emulator/virtual_worker.cpp
@@ -49,16 +49,17 @@
   this->SlowPermille = static_cast<std::uint32_t>(
       this->Random() % (Options.MaxSlowPermille + 1));
   this->Profile.Pool = std::move(Pool);
-  this->Profile.Room.set_cpu_milli(Options.RoomMilli);
+  this->Profile.Room.set_cpu_milli(Options.CapacityMilliCores);
   this->Profile.Room.set_memory_mb(UINT32_MAX);
-  this->beginLife();
+  this->startIncarnation();
 }
 
-void VirtualWorker::beginLife() {
-  bool First = this->Lives == 1;
-  this->LifeName =
-      First ? this->Name : fmt::format("{}-{}", this->Name, this->Lives);
-  this->Profile.Id = this->Options.KeepsId ? this->Name : this->LifeName;
+void VirtualWorker::startIncarnation() {
+  bool First = this->LastIncarnation == 1;
+  this->IncarnationName =
+      First ? this->Name
+            : fmt::format("{}-{}", this->Name, this->LastIncarnation);
+  this->Profile.Id = this->Options.KeepsId ? this->Name : this->IncarnationName;
   if (this->Options.KeepsId)
     this->Profile.StartUnixMs =
         static_cast<std::uint64_t>(toUnixMillis(this->World.now().Wall));
@@ -102,25 +103,25 @@
 void VirtualWorker::extendLease(WorkerTime Until) {
   this->LeaseEnd = std::max(
       this->LeaseEnd, std::min(Until, this->clock() + this->Options.MaxLease));
-  this->lapseLater();
+  this->scheduleLapse();
 }
 
-void VirtualWorker::lapseLater() {
-  if (this->Alive.empty() || this->AwaitsLapse)
+void VirtualWorker::scheduleLapse() {
+  if (this->Alive.empty() || this->LapseScheduled)
     return;
-  this->AwaitsLapse = true;
+  this->LapseScheduled = true;
   // A slow clock reaches the end of the lease later, so check again then.
   Duration Left = std::max<Duration>(this->LeaseEnd - this->clock(),
                                      std::chrono::milliseconds(1));
   this->World.after(Left, [this] {
-    this->AwaitsLapse = false;
+    this->LapseScheduled = false;
     this->lapseIfDue();
   });
 }
 
 void VirtualWorker::lapseIfDue() {
   if (this->clock() < this->LeaseEnd) {
-    this->lapseLater();
+    this->scheduleLapse();
     return;
   }
   while (!this->Alive.empty()) {
@@ -146,8 +147,10 @@
   this->extendLease(Call.LeaseUntil);
   if (this->Alive.contains(Call.Run))
     return Reply;
-  auto Over = this->LastOver.find({Call.Run.Job, Call.Run.Index});
-  if (Over != this->LastOver.end() && Call.Run.Run <= Over->second)
+  auto LastFinished =
+      this->LastFinishedRun.find({Call.Run.Job, Call.Run.Index});
+  if (LastFinished != this->LastFinishedRun.end() &&
+      Call.Run.Run <= LastFinished->second)
     Reply.Refusal = WorkerRefusal::StaleRun;
   else
     this->begin(Call);
@@ -162,19 +165,21 @@
   Reply.Refusal = this->fence(Call.FencingToken);
   if (Reply.Refusal != WorkerRefusal::None)
     return Reply;
-  std::uint64_t &Over = this->LastOver[{Call.Run.Job, Call.Run.Index}];
-  Over = std::max(Over, Call.Run.Run);
+  std::uint64_t &LastFinished =
+      this->LastFinishedRun[{Call.Run.Job, Call.Run.Index}];
+  LastFinished = std::max(LastFinished, Call.Run.Run);
   auto Found = this->Alive.find(Call.Run);
   if (Found == this->Alive.end() || Found->second.Stopping)
     return Reply;
   Found->second.Stopping = true;
   auto Takes = static_cast<std::int64_t>(
       this->Random() % (this->Options.MaxStopTime.count() + 1));
-  this->World.after(std::chrono::milliseconds(Takes),
-                    [this, Run = Call.Run, Life = this->Lives] {
-                      if (this->Up && Life == this->Lives)
-                        this->end(Run, RunOutcome::Stopped);
-                    });
+  this->World.after(
+      std::chrono::milliseconds(Takes),
+      [this, Run = Call.Run, Incarnation = this->LastIncarnation] {
+        if (this->Up && Incarnation == this->LastIncarnation)
+          this->end(Run, RunOutcome::Stopped);
+      });
   return Reply;
 }
 
@@ -204,17 +209,17 @@
       return;
     WaitingHold Due = std::move(*Own);
     this->Holds.erase(Own);
-    this->tell({Due});
+    this->sendReplies({Due});
   });
 }
 
 void VirtualWorker::answerHolds() {
   std::vector<WaitingHold> Due;
   std::swap(Due, this->Holds);
-  this->tell(Due);
+  this->sendReplies(Due);
 }
 
-void VirtualWorker::tell(const std::vector<WaitingHold> &Due) {
+void VirtualWorker::sendReplies(const std::vector<WaitingHold> &Due) {
   if (Due.empty())
     return;
   WorkerReply Reply = this->reply(this->Profile.Id);
@@ -232,25 +237,27 @@
   const RunKey &Key = Call.Run;
   Spec Read = readSpec(Call.Spec, Key.Index);
   this->Alive[Key] = {};
-  this->Runs.begin(this->LifeName, Key, Read.For, this->World.now().Steady);
+  this->Runs.begin(this->IncarnationName, Key, Read.For,
+                   this->World.now().Steady);
   if (Read.Length == CrashesWorker) {
     this->Runs.noteCrash(Key);
     this->crash();
     return;
   }
-  this->lapseLater();
-  this->World.after(Read.Length, [this, Key, Life = this->Lives] {
-    if (this->Up && Life == this->Lives)
-      this->end(Key, RunOutcome::Done);
-  });
+  this->scheduleLapse();
+  this->World.after(Read.Length,
+                    [this, Key, Incarnation = this->LastIncarnation] {
+                      if (this->Up && Incarnation == this->LastIncarnation)
+                        this->end(Key, RunOutcome::Done);
+                    });
 }
 
 void VirtualWorker::end(const RunKey &Key, RunOutcome How) {
   if (this->Alive.erase(Key) == 0)
     return;
-  std::uint64_t &Over = this->LastOver[{Key.Job, Key.Index}];
-  Over = std::max(Over, Key.Run);
-  this->Runs.end(this->LifeName, Key, runOutcomeName(How),
+  std::uint64_t &LastFinished = this->LastFinishedRun[{Key.Job, Key.Index}];
+  LastFinished = std::max(LastFinished, Key.Run);
+  this->Runs.end(this->IncarnationName, Key, runOutcomeName(How),
                  this->World.now().Steady);
   this->Ended.push_back({++this->LastEnd, Key, How});
   this->answerHolds();
@@ -263,9 +270,10 @@
     return;
   this->Up = false;
   for (const auto &[Key, Known] : this->Alive)
-    this->Runs.end(this->LifeName, Key, "crashed", this->World.now().Steady);
+    this->Runs.end(this->IncarnationName, Key, "crashed",
+                   this->World.now().Steady);
   this->Alive.clear();
-  this->LastOver.clear();
+  this->LastFinishedRun.clear();
   this->Ended.clear();
   this->answerHolds();
   this->World.after(RestartAfter, [this] { this->restart(); });
@@ -273,8 +281,8 @@
 
 void VirtualWorker::restart() {
   this->Up = true;
-  ++this->Lives;
-  this->beginLife();
+  ++this->LastIncarnation;
+  this->startIncarnation();
   this->LeaseEnd = {};
   this->Token = 0;
   this->LastEnd = 0;
--- a/emulator/virtual_worker.h
+++ b/emulator/virtual_worker.h
@@ -39,7 +39,7 @@
   std::uint32_t MaxSlowPermille = 20;
   /// Time from a crash until the worker starts again, as a new incarnation.
   std::chrono::milliseconds RestartAfter{2500};
-  std::uint32_t RoomMilli = 64000;
+  std::uint32_t CapacityMilliCores = 64000;
   /// All incarnations have the same id, and announce their start time.
   bool KeepsId = false;
 };
@@ -85,15 +85,15 @@
   /// Checks the fencing token of a call, and keeps the highest one.
   WorkerRefusal fence(std::uint64_t Token);
   void extendLease(WorkerTime Until);
-  void lapseLater();
+  void scheduleLapse();
   void lapseIfDue();
   void begin(const StartCall &Call);
   void end(const RunKey &Run, RunOutcome How);
   void restart();
-  void beginLife();
+  void startIncarnation();
   /// Replies to all waiting hold calls.
   void answerHolds();
-  void tell(const std::vector<WaitingHold> &Due);
+  void sendReplies(const std::vector<WaitingHold> &Due);
 
   VirtualWorld &World;
   RunRegister &Runs;
@@ -103,18 +103,18 @@
   WorkerProfile Profile;
   std::function<void()> Restarted;
   bool Up = true;
-  std::uint64_t Lives = 1;
+  std::uint64_t LastIncarnation = 1;
   /// Name of the current incarnation in the register of runs.
-  std::string LifeName;
+  std::string IncarnationName;
   TimePoint Started;
   std::uint32_t SlowPermille = 0;
   WorkerTime LeaseEnd{};
   /// Whether a check for the end of the lease is already scheduled.
-  bool AwaitsLapse = false;
+  bool LapseScheduled = false;
   std::uint64_t Token = 0;
   std::map<RunKey, Run> Alive;
   /// The highest run number of each task that was stopped or has ended here.
-  std::map<TaskName, std::uint64_t> LastOver;
+  std::map<TaskName, std::uint64_t> LastFinishedRun;
   std::deque<EndedRun> Ended;
   std::uint64_t LastEnd = 0;
   std::uint64_t LastHold = 0;
--- a/emulator/virtual_world.cpp
+++ b/emulator/virtual_world.cpp
@@ -56,7 +56,7 @@
 
 void VirtualWorld::start(const std::string &Name, Receiver Receive) {
   Node &Target = this->Nodes[Name];
-  ++Target.Life;
+  ++Target.Incarnation;
   Target.Receive = std::move(Receive);
   Target.Up = true;
   Target.Frozen = false;
@@ -65,7 +65,7 @@
 
 void VirtualWorld::kill(const std::string &Name) {
   Node &Target = this->Nodes[Name];
-  ++Target.Life;
+  ++Target.Incarnation;
   Target.Up = false;
   Target.Frozen = false;
   Target.Held.clear();
@@ -92,14 +92,14 @@
   return Found != this->Nodes.end() && Found->second.Up;
 }
 
-void VirtualWorld::runFor(const std::string &Name, std::uint64_t Life,
+void VirtualWorld::runFor(const std::string &Name, std::uint64_t Incarnation,
                           const std::function<void()> &Action, bool IsTimer) {
   Node &Target = this->Nodes[Name];
-  if (!Target.Up || Target.Life != Life)
+  if (!Target.Up || Target.Incarnation != Incarnation)
     return;
   if (Target.Frozen)
-    Target.Held.push_back({[this, Name, Life, Action, IsTimer] {
-                             this->runFor(Name, Life, Action, IsTimer);
+    Target.Held.push_back({[this, Name, Incarnation, Action, IsTimer] {
+                             this->runFor(Name, Incarnation, Action, IsTimer);
                            },
                            IsTimer});
   else
@@ -108,7 +108,7 @@
 
 void VirtualWorld::runOn(const std::string &Name,
                          const std::function<void()> &Action) {
-  this->runFor(Name, this->Nodes[Name].Life, Action);
+  this->runFor(Name, this->Nodes[Name].Incarnation, Action);
 }
 
 void VirtualWorld::onSendFailed(
@@ -133,18 +133,18 @@
 
 void VirtualWorld::every(const std::string &Name, Duration Interval,
                          const std::function<void()> &Tick) {
-  this->tickLater(Name, this->Nodes[Name].Life, Interval, Tick);
+  this->tickLater(Name, this->Nodes[Name].Incarnation, Interval, Tick);
 }
 
-void VirtualWorld::tickLater(const std::string &Name, std::uint64_t Life,
+void VirtualWorld::tickLater(const std::string &Name, std::uint64_t Incarnation,
                              Duration Interval,
                              const std::function<void()> &Tick) {
-  this->after(Interval, [this, Name, Life, Interval, Tick] {
+  this->after(Interval, [this, Name, Incarnation, Interval, Tick] {
     this->runFor(
-        Name, Life,
-        [this, Name, Life, Interval, Tick] {
+        Name, Incarnation,
+        [this, Name, Incarnation, Interval, Tick] {
           Tick();
-          this->tickLater(Name, Life, Interval, Tick);
+          this->tickLater(Name, Incarnation, Interval, Tick);
         },
         /*IsTimer=*/true);
   });
@@ -189,7 +189,8 @@
   Duration Delay = this->DelayBetween(From, To.Node);
   if (this->Filter)
     Delay += this->Filter({From, From}, To, Message);
-  Parcel Sent{{From, From, this->Nodes[From].Life}, To, Message, this->Time};
+  Parcel Sent{
+      {From, From, this->Nodes[From].Incarnation}, To, Message, this->Time};
   bool Lost = this->isCut(From, To.Node) ||
               this->Random() % WholePermille < this->Faults.LossPermille;
   if (Lost) {
@@ -217,7 +218,7 @@
       this->reportFailure(Sent);
     if (Lost)
       return;
-    this->runFor(To, Target.Life, [this, To, Sent] {
+    this->runFor(To, Target.Incarnation, [this, To, Sent] {
       this->Nodes[To].Receive(Sent.From, Sent.Message);
     });
   });
--- a/emulator/virtual_world.h
+++ b/emulator/virtual_world.h
@@ -117,7 +117,7 @@
   struct Node {
     Receiver Receive;
     std::function<void(const Undelivered &Lost)> SendFailed;
-    std::uint64_t Life = 0;
+    std::uint64_t Incarnation = 0;
     bool Up = false;
     bool Frozen = false;
     std::vector<HeldAction> Held;
@@ -136,10 +136,10 @@
   };
   void deliverLater(const Parcel &Sent, Duration Delay);
   void reportFailure(const Parcel &Sent);
-  void runFor(const std::string &Name, std::uint64_t Life,
+  void runFor(const std::string &Name, std::uint64_t Incarnation,
               const std::function<void()> &Action, bool IsTimer = false);
-  void tickLater(const std::string &Name, std::uint64_t Life, Duration Interval,
-                 const std::function<void()> &Tick);
+  void tickLater(const std::string &Name, std::uint64_t Incarnation,
+                 Duration Interval, const std::function<void()> &Tick);
   bool isCut(const std::string &A, const std::string &B) const;
 
   std::mt19937_64 Random;
--- a/tests/bench/regression_test.cpp
+++ b/tests/bench/regression_test.cpp
@@ -21,7 +21,7 @@
 constexpr Duration Length = 90s;
 constexpr std::uint64_t Seed = 4;
 /// Weights of a job's p99 slowdown and of a wasted message a task.
-struct Weighing {
+struct CostWeights {
   double Slowdown;
   double Waste;
 };
@@ -31,7 +31,7 @@
 /// elsewhere.
 double boundFor(const LoadSpec &Load) { return Load.Stragglers ? 1.45 : 1.3; }
 
-double cost(const BenchRow &Row, const BenchRow &Ideal, Weighing Weights) {
+double cost(const BenchRow &Row, const BenchRow &Ideal, CostWeights Weights) {
   double Lost = static_cast<double>(Row.Failed) / static_cast<double>(Row.Jobs);
   constexpr double LostWeight = 100;
   return Weights.Slowdown * Row.Slowdown.P99 / Ideal.Slowdown.P99 +
@@ -43,15 +43,15 @@
 TEST_GROUP(RegressionTest){};
 
 TEST(RegressionTest, TheDefaultKeepsItsBoundsAndBeatsTheNaive) {
-  for (const Deployment &Place : {tradingUnit(), skyArchive()}) {
-    bool Trading = Place.Name == "trading";
-    Weighing Weights = Trading ? Weighing{2, 1} : Weighing{1, 2};
+  for (const Deployment &Site : {tradingUnit(), skyArchive()}) {
+    bool Trading = Site.Name == "trading";
+    CostWeights Weights = Trading ? CostWeights{2, 1} : CostWeights{1, 2};
     for (const LoadSpec &Load : allLoads()) {
-      std::string Name = fmt::format("{}, {}", Place.Name, Load.Name);
-      BenchRow Ideal = runIdeal(Place, Load, Length, Seed);
+      std::string Name = fmt::format("{}, {}", Site.Name, Load.Name);
+      BenchRow Ideal = runIdeal(Site, Load, Length, Seed);
       BenchRow Chosen =
-          runPolicy(Place, Load, std::string(DefaultPolicy), Length, Seed);
-      LONGS_EQUAL_TEXT(0, Chosen.DoubledStarts, Name.c_str());
+          runPolicy(Site, Load, std::string(DefaultPolicy), Length, Seed);
+      LONGS_EQUAL_TEXT(0, Chosen.DoubleStarts, Name.c_str());
       STRCMP_EQUAL_TEXT("", Chosen.Violation.c_str(), Name.c_str());
       bool Calm = Load.Name.starts_with("calm");
       CHECK_TRUE_TEXT(Chosen.WastedPerTask <= (Calm ? 0.02 : 0.10),
@@ -60,8 +60,8 @@
                           boundFor(Load) * Ideal.Slowdown.P99,
                       Name.c_str());
       for (const char *Naive : {"random", "round_robin"}) {
-        BenchRow Other = runPolicy(Place, Load, Naive, Length, Seed);
-        LONGS_EQUAL_TEXT(0, Other.DoubledStarts, Name.c_str());
+        BenchRow Other = runPolicy(Site, Load, Naive, Length, Seed);
+        LONGS_EQUAL_TEXT(0, Other.DoubleStarts, Name.c_str());
         CHECK_TRUE_TEXT(cost(Chosen, Ideal, Weights) <=
                             cost(Other, Ideal, Weights),
                         Name.c_str());
@@ -71,35 +71,35 @@
 }
 
 TEST(RegressionTest, TheBoundsCatchANaivePolicy) {
-  Deployment Place = tradingUnit();
+  Deployment Site = tradingUnit();
   int Caught = 0;
   for (const LoadSpec &Load : allLoads()) {
-    BenchRow Ideal = runIdeal(Place, Load, Length, Seed);
-    BenchRow Naive = runPolicy(Place, Load, "random", Length, Seed);
+    BenchRow Ideal = runIdeal(Site, Load, Length, Seed);
+    BenchRow Naive = runPolicy(Site, Load, "random", Length, Seed);
     Caught += Naive.Slowdown.P99 > boundFor(Load) * Ideal.Slowdown.P99 ? 1 : 0;
   }
   CHECK_TRUE(Caught >= 5);
 }
 
 TEST(RegressionTest, TheSameSeedGivesTheSameRow) {
-  Deployment Place = skyArchive();
+  Deployment Site = skyArchive();
   const LoadSpec &Load = allLoads()[1];
-  BenchRow First = runPolicy(Place, Load, "late_binding", 20s, Seed);
-  BenchRow Again = runPolicy(Place, Load, "late_binding", 20s, Seed);
-  DOUBLES_EQUAL(First.Slowdown.P99, Again.Slowdown.P99, 0);
-  DOUBLES_EQUAL(First.WastedPerTask, Again.WastedPerTask, 0);
+  BenchRow First = runPolicy(Site, Load, "late_binding", 20s, Seed);
+  BenchRow ClaimsResent = runPolicy(Site, Load, "late_binding", 20s, Seed);
+  DOUBLES_EQUAL(First.Slowdown.P99, ClaimsResent.Slowdown.P99, 0);
+  DOUBLES_EQUAL(First.WastedPerTask, ClaimsResent.WastedPerTask, 0);
 }
 
 TEST(RegressionTest, TheIdealIsASingleQueue) {
-  Deployment Place = tradingUnit();
-  Place.Upstreams = 1;
-  Place.Slots = 1;
+  Deployment Site = tradingUnit();
+  Site.Upstreams = 1;
+  Site.Slots = 1;
   LoadSpec Load;
   std::vector<JobPlan> Jobs(2);
   Jobs[0].Tasks = {{100ms, 100ms}, {50ms, 50ms}};
   Jobs[1].At = 10ms;
   Jobs[1].Tasks = {{20ms, 20ms}};
-  auto Responses = idealResponses(Jobs, Place, Load, 1s);
+  auto Responses = idealResponses(Jobs, Site, Load, 1s);
   LONGS_EQUAL(150000, Responses[0]->count());
   LONGS_EQUAL(160000, Responses[1]->count());
 }
--- a/tests/entry/crashing_task_test.cpp
+++ b/tests/entry/crashing_task_test.cpp
@@ -67,7 +67,7 @@
     Options.Seed = Seed;
     Options.Agents = Agents;
     Options.Entries = Entries;
-    Options.RoomsMilli = {8 * Core};
+    Options.CapacitiesMilliCores = {8 * Core};
     if (!CountsCrashes)
       Options.Coordinator.Crashes = {.MaxCrashesStartedLast = SIZE_MAX,
                                      .MaxCrashesAnyTask = SIZE_MAX};
@@ -170,7 +170,7 @@
         "{}: {} crashes, {} under one task; in time {}, late {}, refused {}, "
         "failed {} of {}",
         Row.Name, Toll.Crashes, Toll.MaxCrashesOfOneTask, Ordinary.InTime,
-        Ordinary.Late, Ordinary.Refused, Ordinary.Failed, Ordinary.Asked);
+        Ordinary.Late, Ordinary.Refused, Ordinary.Failed, Ordinary.Submitted);
     CHECK_TEXT(Toll.MaxCrashesOfOneTask <= Row.MaxCrashes, Found.c_str());
     CHECK_TEXT(InTime[I] >= Row.MinInTimeShare, Found.c_str());
     CHECK_TEXT(!Row.CountsCrashes || Ordinary.Failed == 0, Found.c_str());
--- a/tests/entry/disconnected_callers_test.cpp
+++ b/tests/entry/disconnected_callers_test.cpp
@@ -45,7 +45,7 @@
       Options.Seed = Seed;
       Options.Entries = 2;
       if (Row.FreezeAfter == 1ms)
-        Options.EntryHandOver = 2ms;
+        Options.EntryHandOverDelay = 2ms;
       LeasedWorld World(Options);
       auto Submit = [&](std::size_t Entry) {
         return World.submitJob(Entry, longJob(), {LongTaskDuration},
--- a/tests/entry/lease_fleet_test.cpp
+++ b/tests/entry/lease_fleet_test.cpp
@@ -19,7 +19,7 @@
   Options.Factor = Factor;
   Options.World.Seed = Seed;
   Options.World.Coordinator.Workers.UseForecasts = Forecasts;
-  return playMixed(Options);
+  return runMixedLoad(Options);
 }
 
 double refusedShare(const MixedOutcome &Outcome) {
--- a/tests/entry/lease_overload_test.cpp
+++ b/tests/entry/lease_overload_test.cpp
@@ -29,11 +29,11 @@
     MixedLoadOptions Options;
     Options.Factor = Row.Factor;
     Options.Faults = Row.Faults;
-    MixedOutcome Outcome = playMixed(Options);
+    MixedOutcome Outcome = runMixedLoad(Options);
     LONGS_EQUAL_TEXT(0, Outcome.OverlappingRuns, Row.Name);
     for (const auto &[Route, Seen] : Outcome.Routes) {
-      CHECK_TEXT(Seen.Asked > 50, Row.Name);
-      LONGS_EQUAL_TEXT(Seen.Asked,
+      CHECK_TEXT(Seen.Submitted > 50, Row.Name);
+      LONGS_EQUAL_TEXT(Seen.Submitted,
                        Seen.InTime + Seen.Late + Seen.Refused + Seen.Failed,
                        Row.Name);
     }
@@ -42,8 +42,8 @@
 
 TEST(LeaseOverloadTest, TheSameSeedGivesTheSameRun) {
   MixedLoadOptions Options;
-  auto First = playMixed(Options).Routes;
-  auto Second = playMixed(Options).Routes;
+  auto First = runMixedLoad(Options).Routes;
+  auto Second = runMixedLoad(Options).Routes;
   for (const auto &[Route, Seen] : First)
     LONGS_EQUAL_TEXT(Seen.InTime, Second[Route].InTime, Route.c_str());
 }
@@ -54,10 +54,10 @@
   for (std::uint64_t Seed : {1, 2, 3}) {
     MixedLoadOptions Options;
     Options.World.Seed = Seed;
-    auto With = playMixed(Options).Routes;
+    auto With = runMixedLoad(Options).Routes;
     Options.World.Coordinator.Waiting.Enabled = false;
-    auto Without = playMixed(Options).Routes;
+    auto Without = runMixedLoad(Options).Routes;
     CHECK(With["wide"].inTimeShare() > Without["wide"].inTimeShare() + 0.03);
-    CHECK(creditOf(With) > creditOf(Without));
+    CHECK(meanCredit(With) > meanCredit(Without));
   }
 }
--- a/tests/entry/lease_scenario.cpp
+++ b/tests/entry/lease_scenario.cpp
@@ -34,7 +34,7 @@
   Options.World.Seed = Seed;
   Options.World.Entries = 2 + Seed % 2;
   Options.World.Agents = 2 + Seed % 3;
-  Options.World.EntryHandOver = 2ms;
+  Options.World.EntryHandOverDelay = 2ms;
   Options.Callers.MaxTries = 30;
   return Options;
 }
@@ -61,7 +61,7 @@
 void LeaseScenario::logFault(const std::string &What) {
   this->Log += fmt::format(
       "  {} ms: {}\n",
-      millisBetween(this->World.begun(), this->World.world().now().Steady),
+      millisBetween(this->World.loadStart(), this->World.world().now().Steady),
       What);
 }
 
@@ -316,7 +316,7 @@
   std::string Found;
   if (this->World.overlappingRuns() > 0)
     Found += "overlapping runs of a task: " +
-             this->World.runs().describeOverlapping(this->World.begun());
+             this->World.runs().describeOverlapping(this->World.loadStart());
   for (std::size_t E = 0; E < this->World.entries(); ++E) {
     const LeasedEntry &Entry = this->World.entry(E);
     if (Entry.unanswered() > 0)
