--- a/bench/bench_main.cpp
+++ b/bench/bench_main.cpp
@@ -1,4 +1,4 @@
-//===- bench/bench_main.cpp - Prints the comparison of policies -----------===//
+//===- bench/bench_main.cpp - Compares dispatch policies ------------------===//
 
 #include "bench/policy_bench.h"
 #include "catalog/policy_names.h"
@@ -7,9 +7,9 @@
 #include <future>
 #include <gflags/gflags.h>
 
-DEFINE_uint64(seed, 1, "Seed of all randomness.");
-DEFINE_uint32(seconds, 120, "Virtual seconds in which jobs arrive.");
-DEFINE_string(policies, "", "Comma-separated policies; all if empty.");
+DEFINE_uint64(seed, 1, "Seed of all random numbers.");
+DEFINE_uint32(seconds, 120, "Length of the load in virtual seconds.");
+DEFINE_string(policies, "", "Comma-separated names of policies; all if empty.");
 DEFINE_string(deployment, "", "trading, archive, or both if empty.");
 
 namespace {
@@ -34,7 +34,8 @@
   return Chosen;
 }
 
-/// \returns whether nothing happened that must never happen.
+/// Runs all loads for one deployment and prints a row for each run.
+/// \returns whether no invariant was violated.
 bool runDeployment(const Deployment &Site) {
   Duration Length = std::chrono::seconds(FLAGS_seconds);
   fmt::print(
--- a/bench/decision_benchmark.cpp
+++ b/bench/decision_benchmark.cpp
@@ -1,4 +1,4 @@
-//===- bench/decision_benchmark.cpp - The time of one decision ------------===//
+//===- bench/decision_benchmark.cpp - Time of one placement decision ------===//
 
 #include "catalog/policy_names.h"
 #include "dispatch/fair_queue.h"
@@ -29,8 +29,8 @@
   return Table;
 }
 
-/// Chooses an upstream, notes the send, and settles the oldest of the tasks
-/// out, so that about half of the slots stay taken.
+/// Chooses an upstream, records the sent task and settles the oldest task in
+/// flight, so that about half of the slots stay in use.
 void decide(benchmark::State &State, std::string_view Name) {
   UpstreamTable Table = makeTable(State.range(0));
   std::unique_ptr<RoutePolicy> Policy = makePolicy(Name);
@@ -52,7 +52,8 @@
   }
 }
 
-/// Takes the next task of many workspaces and puts another in its place.
+/// Takes the next task out of the queues of many workspaces and adds a new task
+/// to the same workspace.
 void order(benchmark::State &State) {
   FairQueue Queue;
   for (std::int64_t I = 0; I < State.range(0); ++I) {
--- a/bench/ideal_queue.cpp
+++ b/bench/ideal_queue.cpp
@@ -8,17 +8,18 @@
 
 namespace {
 
-/// Times at which slots fall free, earliest first.
+/// Times at which slots become free, earliest first.
 using FreeTimes =
     std::priority_queue<Duration, std::vector<Duration>, std::greater<>>;
 
-/// Takes an upstream's slots away; those that fall free first.
+/// Removes the slots of one upstream: the ones that become free first.
 void removeUpstream(FreeTimes &Slots, std::uint32_t Count) {
   for (std::uint32_t I = 0; I < Count; ++I)
     Slots.pop();
 }
 
-/// Runs one job. \returns when its last task ended.
+/// Runs one job.
+/// \returns the time at which its last task ends.
 Duration runJob(const JobPlan &Job, FreeTimes &Slots) {
   Duration End = Job.At;
   for (const TaskPlan &Task : Job.Tasks) {
--- a/bench/ideal_queue.h
+++ b/bench/ideal_queue.h
@@ -1,8 +1,8 @@
-//===- bench/ideal_queue.h - An omniscient single queue ---------*- C++ -*-===//
+//===- bench/ideal_queue.h - Ideal single queue ----------------*- C++ -*-===//
 ///
 /// \file
-/// The ideal that policies are measured against: one queue in the order of
-/// arrival over the same slots, without any delay, and with no task lost.
+/// The ideal that policies are compared with: one queue for all slots, in order
+/// of arrival, without network delays and without lost tasks.
 ///
 //===----------------------------------------------------------------------===//
 #ifndef YARDWHEEL_BENCH_IDEAL_QUEUE_H
@@ -15,7 +15,7 @@
 
 namespace yardwheel {
 
-/// Response times by job; nothing for a job that is cancelled.
+/// Returns the response time of each job; no value for a cancelled job.
 std::vector<std::optional<Duration>>
 idealResponses(const std::vector<JobPlan> &Jobs, const Deployment &Site,
                const LoadSpec &Load, Duration Length);
--- a/bench/overload_main.cpp
+++ b/bench/overload_main.cpp
@@ -1,7 +1,9 @@
-//===- Decisions of the leased path under load, in virtual time -----------===//
+//===- bench/overload_main.cpp - Leased path under load -------------------===//
 //
-// Prints, for each decision switched off in turn, what became of each kind of
-// job, over several seeds. The same arguments print the same table.
+// Runs a mixed load in virtual time once for each variant of the leased path,
+// most of them with one mechanism switched off or changed. Prints the outcomes
+// of each kind of job over several seeds. The same arguments print the same
+// table.
 //
 //===----------------------------------------------------------------------===//
 
@@ -13,15 +15,16 @@
 #include <gflags/gflags.h>
 #include <unistd.h>
 
-DEFINE_double(factor, 1, "load, against nine tenths of the room");
-DEFINE_uint64(seeds, 3, "how many seeds");
-DEFINE_uint64(agents, 9, "workers");
-DEFINE_uint64(entries, 3, "entries");
+DEFINE_double(factor, 1, "load, as a factor of nine tenths of the capacity");
+DEFINE_uint64(seeds, 3, "number of seeds");
+DEFINE_uint64(agents, 9, "number of workers");
+DEFINE_uint64(entries, 3, "number of entries");
 DEFINE_bool(fleet, false,
-            "51 entries of little processor time and 240 workers, at the "
-            "factor of three fifths of their room");
-DEFINE_string(only, "", "plays just the variants whose names begin so");
-DEFINE_double(burst, 1, "load of the narrow kind from 2 to 4 s, as a factor");
+            "51 entries with little processor time and 240 workers; the load "
+            "is a factor of three fifths of their capacity");
+DEFINE_string(only, "",
+              "runs only the variants whose names begin with this text");
+DEFINE_double(burst, 1, "factor on the load of the narrow kind from 2 to 4 s");
 
 using namespace yardwheel;
 
@@ -96,7 +99,7 @@
   return Options;
 }
 
-/// What became of a variant's jobs over all seeds.
+/// Outcomes of a variant's jobs over all seeds.
 struct VariantTotals {
   std::map<std::string, RouteOutcome> Sum;
   EntryEffort Effort;
@@ -136,7 +139,8 @@
 
 int main(int Count, char **Values) {
   gflags::ParseCommandLineFlags(&Count, &Values, true);
-  // Decisions are logged to standard output, the table goes to the terminal.
+  // Decisions are logged to standard output, which is discarded here; the table
+  // goes to the original standard output.
   int Terminal = dup(STDOUT_FILENO);
   if (freopen("/dev/null", "w", stdout) == nullptr)
     return 1;
--- a/bench/policy_bench.cpp
+++ b/bench/policy_bench.cpp
@@ -12,7 +12,7 @@
 
 constexpr Duration CallerTimeout{1000000};
 constexpr std::uint32_t MaxCallerRetries = 2;
-/// Time after the last arrival in which the jobs under way may end.
+/// Time after the last arrival for the running jobs to end.
 constexpr Duration DrainTime{40000000};
 constexpr Duration FailureTime{1000};
 
@@ -25,7 +25,7 @@
          static_cast<double>(Least.count());
 }
 
-/// Counts the messages of one kind or another that pass.
+/// Counts claims and wasted messages.
 class MessageCounter {
 public:
   void record(const peer::Message &Message) {
@@ -83,7 +83,7 @@
     this->setDelays();
     this->Cluster.World.setFilter(
         [this](const PeerRef &, const PeerRef &, const peer::Message &Sent) {
-          // The quiet time after the load would count idle refreshes.
+          // After the load, the probes to idle agents would be counted.
           if (this->Cluster.World.now().Steady < this->LoadEnd)
             this->Messages.record(Sent);
           return Duration(0);
@@ -179,7 +179,7 @@
     });
   }
 
-  /// The answer that the caller hears first, if there is one.
+  /// Returns the first answer that the caller receives; null if there is none.
   const Answer *firstAnswer(std::size_t I) const {
     const Answer *First = nullptr;
     for (std::size_t Number : this->Submissions[I]) {
@@ -192,7 +192,7 @@
 
   void removeUpstream() {
     this->Cluster.kill(LostAgent);
-    // Control finds out after a lease.
+    // Control detects the loss after a lease.
     constexpr Duration Lease{3000000};
     this->Cluster.World.after(
         Lease, [this] { this->Cluster.announceLost(LostAgent); });
--- a/bench/policy_bench.h
+++ b/bench/policy_bench.h
@@ -1,18 +1,18 @@
-//===- bench/policy_bench.h - Policies on the same load ---------*- C++ -*-===//
+//===- bench/policy_bench.h - Comparison of policies ------------*- C++ -*-===//
 ///
 /// \file
-/// Runs a policy under a load in virtual time, with the objects that the
-/// daemon runs, and measures what the users measure: slowdown and wasted
-/// messages.
+/// Runs a policy under a load in virtual time, with the classes that the daemon
+/// uses, and measures the users' two criteria: slowdown and wasted messages.
 ///
-/// A job's slowdown is its response time at its entry over the least time
-/// that its work could take: its longest task, or all of them spread over the
-/// slots. The ideal's slowdown is measured in the same way.
+/// The slowdown of a job is its response time at its entry, divided by the
+/// shortest time in which its work can be done: the longest of its tasks, or
+/// the total of all tasks divided by the number of slots, whichever is longer.
+/// The slowdown of the ideal is measured in the same way.
 ///
-/// Wasted is every message that did not carry a task, its result or the three
-/// claims a job needs: a refused task counts two, a question or an answer to
-/// one, a word of a free slot, a claim sent again or given back, and a
-/// "still pending" each count one.
+/// Messages are wasted unless they carry a task, its result or one of the three
+/// claims that a job needs. A refused task counts as two; a query or the reply
+/// to one, a notice of a free slot, a resent or released claim, and a reply
+/// "still pending" count as one each.
 ///
 //===----------------------------------------------------------------------===//
 #ifndef YARDWHEEL_BENCH_POLICY_BENCH_H
@@ -41,7 +41,7 @@
   std::size_t Refused = 0;
   std::size_t Failed = 0;
   std::uint32_t DoubleStarts = 0;
-  /// Something that must never happen; empty if it did not.
+  /// Describes a violated invariant; empty if there was none.
   std::string Violation;
 };
 
@@ -50,7 +50,7 @@
                    const std::string &Policy, Duration Length,
                    std::uint64_t Seed);
 
-/// The ideal under the same load and seed.
+/// Runs the ideal under one load; the same seed gives the same jobs.
 BenchRow runIdeal(const Deployment &Site, const LoadSpec &Load, Duration Length,
                   std::uint64_t Seed);
 
--- a/bench/protocol_main.cpp
+++ b/bench/protocol_main.cpp
@@ -1,10 +1,11 @@
-//===- bench/protocol_main.cpp - What the protocols cost ------------------===//
+//===- bench/protocol_main.cpp - Costs of the protocols -------------------===//
 ///
 /// \file
-/// Prints, in virtual time and so the same on every machine: the cost of a
-/// claim, the time until a change is in force, its bytes, catching up, and
-/// elections. One-way delays are 1 ms between any two nodes, the brief's for
-/// the trading unit.
+/// Prints the cost of a claim, the time until a configuration change is in
+/// force and its bytes, the time to catch up after missed changes, and the time
+/// of elections. All run in virtual time, so the results are the same on every
+/// machine. The one-way delay between any two nodes is 1 ms, as the
+/// requirements of the trading unit give it.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -69,8 +70,9 @@
 peer::Change weightChange(int Number);
 ClusterOptions withControl(std::uint64_t Seed);
 
-/// The other way: one entry of the control log for each job. The replicas'
-/// syncs take no virtual time, so they are charged here.
+/// Measures the alternative to claims: one entry of the control log for each
+/// job. The syncs of the replicas take no virtual time, so their cost is added
+/// here.
 void measureSyncedEntry() {
   constexpr Duration SyncCharge = 5ms;
   constexpr Duration ToLeaderAndBack = 2ms;
@@ -96,7 +98,7 @@
                   Counting = false;
                 });
   Cluster.run(1s);
-  // The leader syncs before it sends, a follower before it answers.
+  // The leader syncs before it sends, a follower before it replies.
   Duration Total = End - Start + ToLeaderAndBack + 2 * SyncCharge;
   fmt::print("a synced entry a job instead: {:.1f} ms before the first "
              "dispatch with 5 ms charged a sync, {} messages of the log until "
--- a/bench/slopes_main.cpp
+++ b/bench/slopes_main.cpp
@@ -1,8 +1,9 @@
-//===- bench/slopes_main.cpp - How state and work grow --------------------===//
+//===- bench/slopes_main.cpp - Growth of memory and processor time --------===//
 ///
 /// \file
-/// Prints memory and processor time of each part at three sizes, on this
-/// machine. docs/CAPACITY.md works the planned size out from these slopes.
+/// Prints the memory and processor time of each component at three sizes, as
+/// measured on this machine. docs/CAPACITY.md extrapolates these slopes to the
+/// planned size.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -25,7 +26,7 @@
 
 std::size_t usedBytes() { return mallinfo2().uordblks; }
 
-/// Time and memory of one step, over many.
+/// Measures the mean time and memory of a step over many steps.
 class Meter {
 public:
   Meter() : Bytes(usedBytes()), Start(std::chrono::steady_clock::now()) {}
@@ -44,7 +45,7 @@
   std::chrono::steady_clock::time_point Start;
 };
 
-/// Counts what is sent, and drops it.
+/// Counts the messages sent, and drops them.
 class CountingSink final : public PeerSink {
 public:
   void send(const PeerRef &, peer::Message Message) override {
@@ -167,7 +168,7 @@
   return Request;
 }
 
-/// Every task runs at one of many upstreams and succeeds.
+/// Measures an entry whose tasks all succeed, each at one of many upstreams.
 void entryTasks(std::size_t Upstreams, std::size_t Jobs,
                 std::size_t TasksEach) {
   CountingSink Sink;
@@ -195,7 +196,7 @@
       Update->set_event(peer::TASK_SUCCEEDED);
       Update->set_result(std::string(100, 'r'));
       Update->mutable_load()->set_incarnation(1);
-      // The entry drops what comes from another agent than it sent to.
+      // The entry drops updates from an agent that it did not send the task to.
       for (std::size_t A = 0; A < Upstreams && Upstreams <= 1; ++A)
         Service.onMessage({fmt::format("a{}", A), ""}, Message, Now);
     }
--- a/bench/workload.cpp
+++ b/bench/workload.cpp
@@ -21,7 +21,7 @@
 constexpr double StragglerFactor = 10;
 constexpr double WholePercent = 100;
 constexpr double MicrosPerSecond = 1e6;
-/// In a burst, jobs come at this multiple of the load's mean.
+/// Arrival rate during a burst, as a multiple of the load's mean rate.
 constexpr double BurstFactor = 2.5;
 constexpr Duration BurstInterval{5000000};
 constexpr Duration BurstLength{1000000};
@@ -47,7 +47,7 @@
     return std::uniform_real_distribution<double>(0, 1)(this->Random);
   }
 
-  /// Mean of drawService(), found once by drawing from a fixed seed.
+  /// Returns the mean of drawService(), estimated once from a fixed seed.
   static double meanService() {
     static const double Mean = [] {
       Deployment Site;
--- a/bench/workload.h
+++ b/bench/workload.h
@@ -1,8 +1,8 @@
 //===- bench/workload.h - Jobs of the two services --------------*- C++ -*-===//
 ///
 /// \file
-/// The brief's two services and the loads that policies are compared under,
-/// all drawn from a seed.
+/// The two services of the requirements, and the loads for the comparison of
+/// policies, all drawn from a seed.
 ///
 //===----------------------------------------------------------------------===//
 #ifndef YARDWHEEL_BENCH_WORKLOAD_H
@@ -17,18 +17,18 @@
 
 namespace yardwheel {
 
-/// A service of the brief: its hosts, its delays and its kind of jobs.
+/// A service of the requirements: its hosts, network delays and job sizes.
 struct Deployment {
   std::string Name;
   std::size_t Entries = 3;
   std::size_t Upstreams = 11;
   std::uint32_t Slots = 8;
   std::size_t DataCentres = 3;
-  /// One way, between two data centres.
+  /// One-way delay between two data centres.
   Duration FarDelay{1000};
-  /// One way, within a data centre.
+  /// One-way delay within a data centre.
   Duration NearDelay{100};
-  /// Jobs have 1 task or more, this many on average.
+  /// Mean number of tasks of a job, at least 1.
   double MeanTasks = 4;
 
   std::uint32_t totalSlots() const {
@@ -39,22 +39,23 @@
 Deployment tradingUnit();
 Deployment skyArchive();
 
-/// What is special about a load.
+/// The properties of a load.
 struct LoadSpec {
   std::string Name;
-  /// Share of the slots that is busy on average, in percent.
+  /// Mean share of busy slots, in percent.
   std::uint32_t Percent = 80;
   bool Bursts = false;
   bool Stragglers = false;
-  /// One upstream fails all it starts, at once.
+  /// One upstream fails all its tasks immediately.
   bool FailingUpstream = false;
-  /// Declared sizes are off by up to ten times either way.
+  /// Declared service times are up to ten times too long or too short.
   bool WrongSizes = false;
-  /// A third of all jobs is cancelled in one moment.
+  /// Two thirds of the jobs that arrive in the last 3 s before the middle of
+  /// the load are cancelled at the middle, all at the same time.
   bool CancelWave = false;
-  /// Callers that wait for a second submit again elsewhere.
+  /// Callers without an answer after a second resubmit to another entry.
   bool Retries = false;
-  /// One upstream is lost in the middle.
+  /// One upstream is lost in the middle of the load.
   bool LostUpstream = false;
 };
 
@@ -75,7 +76,7 @@
   Duration total() const;
 };
 
-/// Jobs that arrive within \p Length, in order.
+/// Returns the jobs that arrive within \p Length, in order of arrival.
 std::vector<JobPlan> makeJobs(const Deployment &Site, const LoadSpec &Load,
                               Duration Length, std::uint64_t Seed);
 
--- a/emulator/leased_world.h
+++ b/emulator/leased_world.h
@@ -88,7 +88,8 @@
   void submit(std::size_t Entry, LeasedJobRequest Job,
               const std::vector<std::chrono::milliseconds> &Lengths,
               std::chrono::milliseconds LateAfter);
-  /// Submits a job for a caller that handles the answer itself through \p Hear.
+  /// Submits a job for a caller that handles the answer itself by
+  /// \p OnAnswer.
   SubmissionId submitJob(std::size_t Entry, LeasedJobRequest Job,
                          const std::vector<std::chrono::milliseconds> &Lengths,
                          LeasedEntry::Listener OnAnswer);
--- a/emulator/persistent_caller.cpp
+++ b/emulator/persistent_caller.cpp
@@ -54,7 +54,7 @@
   // The answer may arrive within the call.
   SubmissionId Next = this->World.nextSubmission();
   this->Current = Next;
-  this->logEvent(fmt::format("handed in as {} at entry-{}", Next, this->Entry));
+  this->logEvent(fmt::format("submitted as {} to entry-{}", Next, this->Entry));
   this->World.submitJob(
       this->Entry, this->Job, this->Lengths,
       [this, Next](const std::optional<LeasedAnswer> &Answer) {
@@ -69,7 +69,8 @@
 }
 
 void PersistentCaller::disconnect() {
-  this->logEvent(fmt::format("closes {}: no answer in time", this->Current));
+  this->logEvent(
+      fmt::format("disconnects {}: no answer in time", this->Current));
   this->Waits = false;
   this->World.entry(this->Entry).disconnect(this->Current);
   this->tryAgainAfter(this->Options.ResubmitAfter);
@@ -78,7 +79,7 @@
 void PersistentCaller::onAnswer(const std::optional<LeasedAnswer> &Answer) {
   this->Waits = false;
   if (!Answer) {
-    this->logEvent("lost its connection");
+    this->logEvent("connection lost");
     this->tryAgainAfter(this->Options.ResubmitAfter);
     return;
   }
--- a/emulator/run_register.cpp
+++ b/emulator/run_register.cpp
@@ -57,7 +57,7 @@
     for (const Run &Each : this->Runs.at(Task)) {
       bool Alive = Each.Ended == TimePoint::max();
       Text += fmt::format(
-          "  hand-in {} run {} at {} from {} to {} ms: {}\n", Each.For,
+          "  submission {} run {} at {} from {} to {} ms: {}\n", Each.For,
           Each.Number, Each.Worker, millisBetween(Since, Each.Began),
           Alive ? -1 : millisBetween(Since, Each.Ended), Each.How);
     }
--- a/emulator/virtual_cluster.cpp
+++ b/emulator/virtual_cluster.cpp
@@ -250,7 +250,7 @@
   auto First = this->Starts.lower_bound({Target.JobKey, 0});
   bool Ran = First != this->Starts.end() && First->first.Job == Target.JobKey;
   if (SaysNotRun && Ran)
-    this->Violation = "said not run, but ran: " + Target.JobKey;
+    this->Violation = "answered as not run, but was run: " + Target.JobKey;
 }
 
 void VirtualCluster::recordStart(const std::string &Agent,
--- a/emulator/virtual_processor.h
+++ b/emulator/virtual_processor.h
@@ -1,5 +1,4 @@
-//===- emulator/virtual_processor.h - A node's processor ---------*- C++
-//-*-===//
+//===- emulator/virtual_processor.h - Node processor ------------*- C++ -*-===//
 ///
 /// \file
 /// The processor of a node in virtual time. It runs one action at a time, and
--- a/tests/bench/regression_test.cpp
+++ b/tests/bench/regression_test.cpp
@@ -1,8 +1,8 @@
-//===- Regression bounds of the chosen default, in virtual time -----------===//
+//===- Bounds of the default policy, in virtual time ----------------------===//
 ///
-/// All bounds are ratios to the ideal and to naive policies under the same
-/// load and seed, so the verdict is the same on every machine. The measured
-/// values stand beside them in docs/design/policies.md.
+/// All bounds are ratios to the ideal and to naive policies under the same load
+/// and seed, so the results are the same on every machine.
+/// docs/design/policies.md lists the measured values beside the bounds.
 ///
 //===----------------------------------------------------------------------===//
 
@@ -20,15 +20,15 @@
 
 constexpr Duration Length = 90s;
 constexpr std::uint64_t Seed = 4;
-/// Weights of a job's p99 slowdown and of a wasted message a task.
+/// Weights of the p99 slowdown and of the wasted messages per task.
 struct CostWeights {
   double Slowdown;
   double Waste;
 };
 
-/// Bound of the p99 slowdown over the ideal's. Seen over six seeds: 1.04 to
-/// 1.31 with stragglers, whose slots the entries learn of late; at most 1.20
-/// elsewhere.
+/// Returns the bound of the p99 slowdown as a ratio to the ideal's. Over six
+/// seeds the ratio was 1.04 to 1.31 with stragglers, because entries learn late
+/// that their slots are taken, and at most 1.20 for the other loads.
 double boundFor(const LoadSpec &Load) { return Load.Stragglers ? 1.45 : 1.3; }
 
 double cost(const BenchRow &Row, const BenchRow &Ideal, CostWeights Weights) {
@@ -42,7 +42,7 @@
 
 TEST_GROUP(RegressionTest){};
 
-TEST(RegressionTest, TheDefaultKeepsItsBoundsAndBeatsTheNaive) {
+TEST(RegressionTest, DefaultPolicyKeepsBoundsAndBeatsNaivePolicies) {
   for (const Deployment &Site : {tradingUnit(), skyArchive()}) {
     bool Trading = Site.Name == "trading";
     CostWeights Weights = Trading ? CostWeights{2, 1} : CostWeights{1, 2};
@@ -70,7 +70,7 @@
   }
 }
 
-TEST(RegressionTest, TheBoundsCatchANaivePolicy) {
+TEST(RegressionTest, NaivePolicyExceedsBounds) {
   Deployment Site = tradingUnit();
   int Caught = 0;
   for (const LoadSpec &Load : allLoads()) {
@@ -81,7 +81,7 @@
   CHECK_TRUE(Caught >= 5);
 }
 
-TEST(RegressionTest, TheSameSeedGivesTheSameRow) {
+TEST(RegressionTest, SameSeedGivesSameRow) {
   Deployment Site = skyArchive();
   const LoadSpec &Load = allLoads()[1];
   BenchRow First = runPolicy(Site, Load, "late_binding", 20s, Seed);
@@ -90,7 +90,7 @@
   DOUBLES_EQUAL(First.WastedPerTask, ClaimsResent.WastedPerTask, 0);
 }
 
-TEST(RegressionTest, TheIdealIsASingleQueue) {
+TEST(RegressionTest, IdealIsASingleQueue) {
   Deployment Site = tradingUnit();
   Site.Upstreams = 1;
   Site.Slots = 1;
