--- a/bench/ideal_queue.h
+++ b/bench/ideal_queue.h
@@ -1,4 +1,4 @@
-//===- bench/ideal_queue.h - Ideal single queue ----------------*- C++ -*-===//
+//===- bench/ideal_queue.h - Ideal single queue -----------------*- C++ -*-===//
 ///
 /// \file
 /// The ideal that policies are compared with: one queue for all slots, in order
--- a/emulator/run_register.h
+++ b/emulator/run_register.h
@@ -1,4 +1,4 @@
-//===- emulator/run_register.h - Record of all runs ------------*- C++ -*-===//
+//===- emulator/run_register.h - Record of all runs -------------*- C++ -*-===//
 ///
 /// \file
 /// Records the runs of all workers, as an outside observer sees them: which
--- a/emulator/virtual_cluster.h
+++ b/emulator/virtual_cluster.h
@@ -1,4 +1,4 @@
-//===- emulator/virtual_cluster.h - Entries and agents -----*- C++ -*-===//
+//===- emulator/virtual_cluster.h - Entries and agents ----------*- C++ -*-===//
 ///
 /// \file
 /// Entries, agents and, optionally, control replicas in one virtual world. It
--- a/emulator/virtual_nodes.h
+++ b/emulator/virtual_nodes.h
@@ -1,5 +1,4 @@
-//===- emulator/virtual_nodes.h - The nodes of a virtual cluster -*- C++
-//-*-===//
+//===- emulator/virtual_nodes.h - Nodes of a virtual cluster ----*- C++ -*-===//
 ///
 /// \file
 /// The nodes of VirtualCluster, one class for each role; each connects the
--- a/emulator/virtual_world.h
+++ b/emulator/virtual_world.h
@@ -1,4 +1,4 @@
-//===- emulator/virtual_world.h - Virtual time and network -*- C++ -*-===//
+//===- emulator/virtual_world.h - Virtual time and network ------*- C++ -*-===//
 ///
 /// \file
 /// A simulation behind the interfaces of the decision code: an event queue in
