--- a/tests/bench/regression_test.cpp
+++ b/tests/bench/regression_test.cpp
@@ -85,9 +85,9 @@
   Deployment Site = skyArchive();
   const LoadSpec &Load = allLoads()[1];
   BenchRow First = runPolicy(Site, Load, "late_binding", 20s, Seed);
-  BenchRow ClaimsResent = runPolicy(Site, Load, "late_binding", 20s, Seed);
-  DOUBLES_EQUAL(First.Slowdown.P99, ClaimsResent.Slowdown.P99, 0);
-  DOUBLES_EQUAL(First.WastedPerTask, ClaimsResent.WastedPerTask, 0);
+  BenchRow Second = runPolicy(Site, Load, "late_binding", 20s, Seed);
+  DOUBLES_EQUAL(First.Slowdown.P99, Second.Slowdown.P99, 0);
+  DOUBLES_EQUAL(First.WastedPerTask, Second.WastedPerTask, 0);
 }
 
 TEST(RegressionTest, IdealIsASingleQueue) {
