--- a/bench/decision_benchmark.cpp
+++ b/bench/decision_benchmark.cpp
@@ -1,4 +1,4 @@
-//===- bench/decision_benchmark.cpp - The time of one decision ------------===//
+//===- bench/decision_benchmark.cpp - Time of one placement decision ------===//
 
 #include "catalog/policy_names.h"
 #include "dispatch/fair_queue.h"
@@ -29,30 +29,31 @@
   return Table;
 }
 
-/// Chooses an upstream, notes the send, and settles the oldest of the tasks
-/// out, so that about half of the slots stay taken.
+/// Chooses an upstream, records the sent task and settles the oldest task in
+/// flight, so that about half of the slots stay in use.
 void decide(benchmark::State &State, std::string_view Name) {
   UpstreamTable Table = makeTable(State.range(0));
   std::unique_ptr<RoutePolicy> Policy = makePolicy(Name);
   std::mt19937_64 Random(1);
-  std::vector<UpstreamIndex> Out(static_cast<std::size_t>(State.range(0)) *
-                                 Slots / 4);
-  for (std::size_t I = 0; I < Out.size(); ++I) {
-    Out[I] = static_cast<UpstreamIndex>(I % Table.size());
-    Table.onSent(Out[I]);
+  std::vector<UpstreamIndex> InFlight(static_cast<std::size_t>(State.range(0)) *
+                                      Slots / 4);
+  for (std::size_t I = 0; I < InFlight.size(); ++I) {
+    InFlight[I] = static_cast<UpstreamIndex>(I % Table.size());
+    Table.onSent(InFlight[I]);
   }
   std::size_t Next = 0;
   for (auto Unused : State) {
     (void)Unused;
     std::optional<UpstreamIndex> Chosen = Policy->choose(Table, Random);
-    Table.onSettled(Out[Next]);
-    Out[Next] = Chosen.value_or(0);
-    Table.onSent(Out[Next]);
-    Next = (Next + 1) % Out.size();
+    Table.onSettled(InFlight[Next]);
+    InFlight[Next] = Chosen.value_or(0);
+    Table.onSent(InFlight[Next]);
+    Next = (Next + 1) % InFlight.size();
   }
 }
 
-/// Takes the next task of many workspaces and puts another in its place.
+/// Takes the next task out of the queues of many workspaces and adds a new task
+/// to the same workspace.
 void order(benchmark::State &State) {
   FairQueue Queue;
   for (std::int64_t I = 0; I < State.range(0); ++I) {
--- a/bench/overload_main.cpp
+++ b/bench/overload_main.cpp
@@ -1,7 +1,9 @@
-//===- Decisions of the leased path under load, in virtual time -----------===//
+//===- bench/overload_main.cpp - Leased path under load -------------------===//
 //
-// Prints, for each decision switched off in turn, what became of each kind of
-// job, over several seeds. The same arguments print the same table.
+// Runs a mixed load in virtual time once for each variant of the leased path,
+// most of them with one mechanism switched off or changed. Prints the outcomes
+// of each kind of job over several seeds. The same arguments print the same
+// table.
 //
 //===----------------------------------------------------------------------===//
 
@@ -13,15 +15,16 @@
 #include <gflags/gflags.h>
 #include <unistd.h>
 
-DEFINE_double(factor, 1, "load, against nine tenths of the room");
-DEFINE_uint64(seeds, 3, "how many seeds");
-DEFINE_uint64(agents, 9, "workers");
-DEFINE_uint64(entries, 3, "entries");
+DEFINE_double(factor, 1, "load, as a factor of nine tenths of the capacity");
+DEFINE_uint64(seeds, 3, "number of seeds");
+DEFINE_uint64(agents, 9, "number of workers");
+DEFINE_uint64(entries, 3, "number of entries");
 DEFINE_bool(fleet, false,
-            "51 entries of little processor time and 240 workers, at the "
-            "factor of three fifths of their room");
-DEFINE_string(only, "", "plays just the variants whose names begin so");
-DEFINE_double(burst, 1, "load of the narrow kind from 2 to 4 s, as a factor");
+            "51 entries with little processor time and 240 workers; the load "
+            "is a factor of three fifths of their capacity");
+DEFINE_string(only, "",
+              "runs only the variants whose names begin with this text");
+DEFINE_double(burst, 1, "factor on the load of the narrow kind from 2 to 4 s");
 
 using namespace yardwheel;
 
@@ -71,7 +74,7 @@
          const std::map<std::string, RouteOutcome> &Seen) {
   for (const auto &[Route, One] : Seen) {
     RouteOutcome &Sum = To[Route];
-    Sum.Asked += One.Asked;
+    Sum.Submitted += One.Submitted;
     Sum.InTime += One.InTime;
     Sum.Late += One.Late;
     Sum.Refused += One.Refused;
@@ -96,38 +99,38 @@
   return Options;
 }
 
-/// What became of a variant's jobs over all seeds.
-struct Tally {
+/// Outcomes of a variant's jobs over all seeds.
+struct VariantTotals {
   std::map<std::string, RouteOutcome> Sum;
   EntryEffort Effort;
-  double Least = 1;
-  double Most = 0;
+  double MinCredit = 1;
+  double MaxCredit = 0;
 
   void add(const MixedOutcome &Seen) {
-    double Credit = creditOf(Seen.Routes);
-    this->Least = std::min(this->Least, Credit);
-    this->Most = std::max(this->Most, Credit);
+    double Credit = meanCredit(Seen.Routes);
+    this->MinCredit = std::min(this->MinCredit, Credit);
+    this->MaxCredit = std::max(this->MaxCredit, Credit);
     ::add(this->Sum, Seen.Routes);
     this->Effort.TasksSent += Seen.Effort.TasksSent;
     this->Effort.TasksRefused += Seen.Effort.TasksRefused;
-    this->Effort.MostBusy =
-        std::max(this->Effort.MostBusy, Seen.Effort.MostBusy);
+    this->Effort.MaxBusyShare =
+        std::max(this->Effort.MaxBusyShare, Seen.Effort.MaxBusyShare);
   }
 
   std::string line(const char *Name) const {
     std::string Line =
         fmt::format("{:<28} credit {:.3f} ({:.3f} to {:.3f})", Name,
-                    creditOf(this->Sum), this->Least, this->Most);
+                    meanCredit(this->Sum), this->MinCredit, this->MaxCredit);
     for (const auto &[Route, Seen] : this->Sum)
       Line += fmt::format("; {} in time {:.3f} late {:.3f} refused {:.3f}",
                           Route, Seen.inTimeShare(),
-                          static_cast<double>(Seen.Late) / Seen.Asked,
-                          static_cast<double>(Seen.Refused) / Seen.Asked);
+                          static_cast<double>(Seen.Late) / Seen.Submitted,
+                          static_cast<double>(Seen.Refused) / Seen.Submitted);
     Line += fmt::format("; tasks given back {:.3f}",
                         static_cast<double>(this->Effort.TasksRefused) /
                             static_cast<double>(this->Effort.TasksSent));
-    if (this->Effort.MostBusy > 0)
-      Line += fmt::format("; busiest entry {:.2f}", this->Effort.MostBusy);
+    if (this->Effort.MaxBusyShare > 0)
+      Line += fmt::format("; busiest entry {:.2f}", this->Effort.MaxBusyShare);
     return Line;
   }
 };
@@ -136,18 +139,19 @@
 
 int main(int Count, char **Values) {
   gflags::ParseCommandLineFlags(&Count, &Values, true);
-  // Decisions are logged to standard output, the table goes to the terminal.
+  // Decisions are logged to standard output, which is discarded here; the table
+  // goes to the original standard output.
   int Terminal = dup(STDOUT_FILENO);
   if (freopen("/dev/null", "w", stdout) == nullptr)
     return 1;
   for (const Variant &Variant : Variants) {
     if (std::string(Variant.Name).rfind(FLAGS_only, 0) != 0)
       continue;
-    Tally Total;
+    VariantTotals Total;
     for (std::uint64_t Seed = 1; Seed <= FLAGS_seeds; ++Seed) {
       MixedLoadOptions Options = optionsFor(Seed);
       Variant.Change(Options);
-      Total.add(playMixed(Options));
+      Total.add(runMixedLoad(Options));
     }
     dprintf(Terminal, "%s\n", Total.line(Variant.Name).c_str());
   }
--- a/emulator/leased_agent.cpp
+++ b/emulator/leased_agent.cpp
@@ -4,19 +4,21 @@
 
 namespace {
 
-/// One way between an agent and its worker, which share a host.
+/// One-way delay between an agent and its worker, which share a host.
 constexpr std::chrono::microseconds WorkerDelay{200};
-constexpr std::chrono::milliseconds AnnounceEvery{1000};
-/// Before a call counts as unanswered, beyond the time that it may wait.
+constexpr std::chrono::milliseconds AnnounceInterval{1000};
+/// Time after which a call counts as unanswered; for a hold call, the time in
+/// addition to its wait.
 constexpr std::chrono::milliseconds CallTimeout{50};
 constexpr std::chrono::milliseconds HoldSlack{80};
-/// When a late call is carried out.
-constexpr std::chrono::milliseconds LeastLate{2000};
-constexpr std::chrono::milliseconds MostLate{12000};
+/// Range of the delay with which a late call is executed.
+constexpr std::chrono::milliseconds MinLateDelay{2000};
+constexpr std::chrono::milliseconds MaxLateDelay{12000};
 constexpr std::uint32_t WholePermille = 1000;
-/// Between the incarnations of two lives: more than the workers' lives that
-/// one sees, each of which takes a number.
-constexpr std::uint64_t LifeStep = 1000;
+/// Difference between the incarnation numbers of two consecutive processes of
+/// an agent. Every worker restart that a process sees takes a number too, so
+/// the difference is larger than their count.
+constexpr std::uint64_t IncarnationStep = 1000;
 
 } // namespace
 
@@ -30,13 +32,13 @@
       this->Keeper->onProfile(Profile, this->World.now());
     });
   });
-  this->beginLife();
+  this->startIncarnation();
   this->announceWorker();
 }
 
 void LeasedAgent::restart() {
-  // Its worker is heard of with the next of its announcements.
-  this->beginLife();
+  // The agent learns of its worker from the next announcement.
+  this->startIncarnation();
 }
 
 void LeasedAgent::crashWorker(std::chrono::milliseconds RestartAfter,
@@ -52,10 +54,10 @@
   });
 }
 
-void LeasedAgent::beginLife() {
-  ++this->Life;
+void LeasedAgent::startIncarnation() {
+  ++this->Incarnation;
   KeeperOptions Options = this->Options.Keeper;
-  Options.Incarnation = 1 + (this->Life - 1) * LifeStep;
+  Options.Incarnation = 1 + (this->Incarnation - 1) * IncarnationStep;
   this->Attached = {};
   this->Keeper = std::make_unique<LeaseKeeper>(
       Options, this->World.sinkOf(this->Name), *this);
@@ -75,7 +77,7 @@
     this->World.runOn(this->Name, [this, Profile = this->Worker.announce()] {
       this->Keeper->onProfile(Profile, this->World.now());
     });
-  this->World.after(AnnounceEvery, [this] { this->announceWorker(); });
+  this->World.after(AnnounceInterval, [this] { this->announceWorker(); });
 }
 
 peer::Member LeasedAgent::member() const {
@@ -85,7 +87,7 @@
   Member.set_incarnation(this->Keeper->incarnation());
   Member.set_address(this->Name);
   Member.set_pool(this->Options.Pool);
-  Member.mutable_room()->set_cpu_milli(this->Options.Worker.RoomMilli);
+  Member.mutable_room()->set_cpu_milli(this->Options.Worker.CapacityMilliCores);
   Member.mutable_room()->set_memory_mb(UINT32_MAX);
   Member.set_state(peer::MEMBER_ALIVE);
   return Member;
@@ -93,15 +95,15 @@
 
 // ---- Calls to the worker ----
 
-LeasedAgent::CallFate LeasedAgent::drawFate() {
+LeasedAgent::CallFate LeasedAgent::drawCallFate() {
   std::uint32_t Sum = this->Faults.LostPermille +
                       this->Faults.UnansweredPermille +
                       this->Faults.LatePermille;
   if (Sum == 0)
-    return CallFate::Carried;
+    return CallFate::Executed;
   auto Drawn = static_cast<std::uint32_t>(this->Random() % WholePermille);
   if (Drawn >= Sum)
-    return CallFate::Carried;
+    return CallFate::Executed;
   if (Drawn < this->Faults.LostPermille)
     return CallFate::Lost;
   Drawn -= this->Faults.LostPermille;
@@ -109,43 +111,45 @@
                                                  : CallFate::Late;
 }
 
-LeasedAgent::Answer LeasedAgent::toThisLife(const Answer &Take) {
-  return [this, Take, Life = this->Life](const WorkerReply &Reply) {
-    this->World.after(WorkerDelay, [this, Take, Life, Reply] {
-      // Connections end with the life that made them.
-      if (Life == this->Life)
-        this->World.runOn(this->Name, [Take, Reply] { Take(Reply); });
-    });
-  };
+LeasedAgent::Answer LeasedAgent::replyToThisLife(const Answer &Take) {
+  return
+      [this, Take, Incarnation = this->Incarnation](const WorkerReply &Reply) {
+        this->World.after(WorkerDelay, [this, Take, Incarnation, Reply] {
+          // Connections end with the process that opened them.
+          if (Incarnation == this->Incarnation)
+            this->World.runOn(this->Name, [Take, Reply] { Take(Reply); });
+        });
+      };
 }
 
 void LeasedAgent::call(std::chrono::milliseconds Timeout,
-                       const std::function<void(const Answer &Reply)> &CarryOut,
+                       const std::function<void(const Answer &Reply)> &Execute,
                        const Answer &Take) {
-  Answer Reply = this->toThisLife(Take);
-  CallFate Fate = this->drawFate();
-  if (Fate == CallFate::Carried) {
-    this->World.after(WorkerDelay, [CarryOut, Reply] { CarryOut(Reply); });
+  Answer Reply = this->replyToThisLife(Take);
+  CallFate Fate = this->drawCallFate();
+  if (Fate == CallFate::Executed) {
+    this->World.after(WorkerDelay, [Execute, Reply] { Execute(Reply); });
     return;
   }
   this->World.after(Timeout, [Reply] { Reply(WorkerReply()); });
   Duration Delay = WorkerDelay;
   if (Fate == CallFate::Late)
-    Delay = LeastLate + std::chrono::milliseconds(
-                            this->Random() % (MostLate - LeastLate).count());
+    Delay = MinLateDelay +
+            std::chrono::milliseconds(this->Random() %
+                                      (MaxLateDelay - MinLateDelay).count());
   if (Fate != CallFate::Lost)
     this->World.after(Delay,
-                      [CarryOut] { CarryOut([](const WorkerReply &) {}); });
+                      [Execute] { Execute([](const WorkerReply &) {}); });
 }
 
 void LeasedAgent::start(const StartCall &Call) {
   this->call(
       CallTimeout,
-      [this, Call, Life = this->Attached](const Answer &Reply) {
-        Reply(this->Worker.start(Life.Id, Call));
+      [this, Call, Incarnation = this->Attached](const Answer &Reply) {
+        Reply(this->Worker.start(Incarnation.Id, Call));
       },
-      [this, Call, Life = this->Attached](const WorkerReply &Reply) {
-        this->Keeper->session().onStartReply(Life, Call.Run, Reply,
+      [this, Call, Incarnation = this->Attached](const WorkerReply &Reply) {
+        this->Keeper->session().onStartReply(Incarnation, Call.Run, Reply,
                                              this->World.now());
       });
 }
@@ -153,11 +157,11 @@
 void LeasedAgent::stop(const StopCall &Call) {
   this->call(
       CallTimeout,
-      [this, Call, Life = this->Attached](const Answer &Reply) {
-        Reply(this->Worker.stop(Life.Id, Call));
+      [this, Call, Incarnation = this->Attached](const Answer &Reply) {
+        Reply(this->Worker.stop(Incarnation.Id, Call));
       },
-      [this, Call, Life = this->Attached](const WorkerReply &Reply) {
-        this->Keeper->session().onStopReply(Life, Call.Run, Reply,
+      [this, Call, Incarnation = this->Attached](const WorkerReply &Reply) {
+        this->Keeper->session().onStopReply(Incarnation, Call.Run, Reply,
                                             this->World.now());
       });
 }
@@ -165,11 +169,12 @@
 void LeasedAgent::hold(const HoldCall &Call) {
   this->call(
       Call.Wait + HoldSlack,
-      [this, Call, Life = this->Attached](const Answer &Reply) {
-        this->Worker.hold(Life.Id, Call, Reply);
+      [this, Call, Incarnation = this->Attached](const Answer &Reply) {
+        this->Worker.hold(Incarnation.Id, Call, Reply);
       },
-      [this, Life = this->Attached](const WorkerReply &Reply) {
-        this->Keeper->session().onHoldReply(Life, Reply, this->World.now());
+      [this, Incarnation = this->Attached](const WorkerReply &Reply) {
+        this->Keeper->session().onHoldReply(Incarnation, Reply,
+                                            this->World.now());
       });
 }
 
--- a/emulator/persistent_caller.cpp
+++ b/emulator/persistent_caller.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-/// Before a caller whose connection was refused looks elsewhere.
+/// Delay before a caller whose connection was refused tries another entry.
 constexpr std::chrono::milliseconds RefusedPause{100};
 
 } // namespace
@@ -19,10 +19,10 @@
     : World(World), Job(std::move(Job)), Lengths(std::move(Lengths)),
       Options(Options), Entry(World.world().random()() % World.entries()) {}
 
-void PersistentCaller::note(const std::string &What) {
+void PersistentCaller::logEvent(const std::string &What) {
   this->Log += fmt::format(
       "  {} ms: {} {}\n",
-      millisBetween(this->World.begun(), this->World.world().now().Steady),
+      millisBetween(this->World.loadStart(), this->World.world().now().Steady),
       this->Job.Id, What);
 }
 
@@ -35,7 +35,7 @@
 void PersistentCaller::begin() { this->tryOnce(); }
 
 void PersistentCaller::tryAgainAfter(std::chrono::milliseconds Delay) {
-  if (this->Tries >= this->Options.MostTries) {
+  if (this->Tries >= this->Options.MaxTries) {
     this->Ended = LeasedEnd::Unknown;
     return;
   }
@@ -51,38 +51,41 @@
   }
   ++this->Tries;
   this->Waits = true;
-  // It may be answered within the call.
-  HandIn Next = this->World.nextHandIn();
+  // The answer may arrive within the call.
+  SubmissionId Next = this->World.nextSubmission();
   this->Current = Next;
-  this->note(fmt::format("handed in as {} at entry-{}", Next, this->Entry));
-  this->World.handIn(this->Entry, this->Job, this->Lengths,
-                     [this, Next](const std::optional<LeasedAnswer> &Answer) {
-                       if (this->Waits && this->Current == Next)
-                         this->hear(Answer);
-                     });
+  this->logEvent(fmt::format("submitted as {} to entry-{}", Next, this->Entry));
+  this->World.submitJob(
+      this->Entry, this->Job, this->Lengths,
+      [this, Next](const std::optional<LeasedAnswer> &Answer) {
+        if (this->Waits && this->Current == Next)
+          this->onAnswer(Answer);
+      });
   this->World.world().after(
       std::min(this->Job.Deadline, this->Options.Patience), [this, Next] {
         if (this->Waits && this->Current == Next)
-          this->hangUp();
+          this->disconnect();
       });
 }
 
-void PersistentCaller::hangUp() {
-  this->note(fmt::format("closes {}: no answer in time", this->Current));
+void PersistentCaller::disconnect() {
+  this->logEvent(
+      fmt::format("disconnects {}: no answer in time", this->Current));
   this->Waits = false;
-  this->World.entry(this->Entry).hangUp(this->Current);
+  this->World.entry(this->Entry).disconnect(this->Current);
   this->tryAgainAfter(this->Options.ResubmitAfter);
 }
 
-void PersistentCaller::hear(const std::optional<LeasedAnswer> &Answer) {
+void PersistentCaller::onAnswer(const std::optional<LeasedAnswer> &Answer) {
   this->Waits = false;
   if (!Answer) {
-    this->note("lost its connection");
+    this->logEvent("connection lost");
     this->tryAgainAfter(this->Options.ResubmitAfter);
     return;
   }
-  this->note(fmt::format("{} answered {} ({}: {})", this->Current,
-                         endName(Answer->End), Answer->Step, Answer->Reason));
+  this->logEvent(fmt::format("{} answered {} ({}: {})", this->Current,
+                             endName(Answer->End), Answer->Step,
+                             Answer->Reason));
   switch (Answer->End) {
   case LeasedEnd::Unknown:
     this->tryAgainAfter(this->Options.ResubmitAfter);
--- a/emulator/run_register.cpp
+++ b/emulator/run_register.cpp
@@ -6,17 +6,17 @@
 namespace yardwheel {
 
 void RunRegister::begin(const std::string &Worker, const RunKey &Run,
-                        HandIn For, TimePoint Now) {
+                        SubmissionId For, TimePoint Now) {
   TaskName Task{Run.Job, Run.Index};
   std::vector<RunRegister::Run> &Known = this->Runs[Task];
   if (std::ranges::any_of(Known, [](const RunRegister::Run &Each) {
         return Each.Ended == TimePoint::max();
       })) {
-    ++this->Doubled;
-    this->DoubledTasks.insert(Task);
+    ++this->OverlappingStarts;
+    this->OverlappingTasks.insert(Task);
   }
   Known.push_back({Worker, Run.Run, For, Now});
-  this->Begun.insert(For);
+  this->BegunSubmissions.insert(For);
 }
 
 void RunRegister::end(const std::string &Worker, const RunKey &Run,
@@ -34,29 +34,30 @@
 void RunRegister::noteCrash(const RunKey &Cause) {
   CrashCount &Count = this->CrashCounts[{Cause.Job, Cause.Index}];
   if (Count.Crashes >= 3)
-    ++Count.StartsAfterThree;
+    ++Count.StartsAfterThreeCrashes;
   ++Count.Crashes;
 }
 
-CrashToll RunRegister::crashToll() const {
-  CrashToll Toll;
+CrashStats RunRegister::crashStats() const {
+  CrashStats Toll;
   for (const auto &[Task, Count] : this->CrashCounts) {
     Toll.Crashes += Count.Crashes;
-    Toll.MostUnderOneTask = std::max(Toll.MostUnderOneTask, Count.Crashes);
-    Toll.MostStartsAfterThree =
-        std::max(Toll.MostStartsAfterThree, Count.StartsAfterThree);
+    Toll.MaxCrashesOfOneTask =
+        std::max(Toll.MaxCrashesOfOneTask, Count.Crashes);
+    Toll.MaxStartsAfterThree =
+        std::max(Toll.MaxStartsAfterThree, Count.StartsAfterThreeCrashes);
   }
   return Toll;
 }
 
-std::string RunRegister::describeDoubled(TimePoint Since) const {
+std::string RunRegister::describeOverlapping(TimePoint Since) const {
   std::string Text;
-  for (const TaskName &Task : this->DoubledTasks) {
+  for (const TaskName &Task : this->OverlappingTasks) {
     Text += fmt::format("{}/{}:\n", Task.first, Task.second);
     for (const Run &Each : this->Runs.at(Task)) {
       bool Alive = Each.Ended == TimePoint::max();
       Text += fmt::format(
-          "  hand-in {} run {} at {} from {} to {} ms: {}\n", Each.For,
+          "  submission {} run {} at {} from {} to {} ms: {}\n", Each.For,
           Each.Number, Each.Worker, millisBetween(Since, Each.Began),
           Alive ? -1 : millisBetween(Since, Each.Ended), Each.How);
     }
--- a/emulator/virtual_world.cpp
+++ b/emulator/virtual_world.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 constexpr std::uint32_t WholePermille = 1000;
-/// Where virtual time begins; any point far from zero will do.
+/// Start of virtual time; any point far from zero works.
 constexpr std::chrono::hours SteadyStart{1000};
 constexpr std::chrono::milliseconds DeliveryTimeout{1000};
 constexpr std::chrono::milliseconds WallStart{1800000000000};
@@ -56,7 +56,7 @@
 
 void VirtualWorld::start(const std::string &Name, Receiver Receive) {
   Node &Target = this->Nodes[Name];
-  ++Target.Life;
+  ++Target.Incarnation;
   Target.Receive = std::move(Receive);
   Target.Up = true;
   Target.Frozen = false;
@@ -65,7 +65,7 @@
 
 void VirtualWorld::kill(const std::string &Name) {
   Node &Target = this->Nodes[Name];
-  ++Target.Life;
+  ++Target.Incarnation;
   Target.Up = false;
   Target.Frozen = false;
   Target.Held.clear();
@@ -92,14 +92,14 @@
   return Found != this->Nodes.end() && Found->second.Up;
 }
 
-void VirtualWorld::runFor(const std::string &Name, std::uint64_t Life,
+void VirtualWorld::runFor(const std::string &Name, std::uint64_t Incarnation,
                           const std::function<void()> &Action, bool IsTimer) {
   Node &Target = this->Nodes[Name];
-  if (!Target.Up || Target.Life != Life)
+  if (!Target.Up || Target.Incarnation != Incarnation)
     return;
   if (Target.Frozen)
-    Target.Held.push_back({[this, Name, Life, Action, IsTimer] {
-                             this->runFor(Name, Life, Action, IsTimer);
+    Target.Held.push_back({[this, Name, Incarnation, Action, IsTimer] {
+                             this->runFor(Name, Incarnation, Action, IsTimer);
                            },
                            IsTimer});
   else
@@ -108,7 +108,7 @@
 
 void VirtualWorld::runOn(const std::string &Name,
                          const std::function<void()> &Action) {
-  this->runFor(Name, this->Nodes[Name].Life, Action);
+  this->runFor(Name, this->Nodes[Name].Incarnation, Action);
 }
 
 void VirtualWorld::onSendFailed(
@@ -133,18 +133,18 @@
 
 void VirtualWorld::every(const std::string &Name, Duration Interval,
                          const std::function<void()> &Tick) {
-  this->tickLater(Name, this->Nodes[Name].Life, Interval, Tick);
+  this->tickLater(Name, this->Nodes[Name].Incarnation, Interval, Tick);
 }
 
-void VirtualWorld::tickLater(const std::string &Name, std::uint64_t Life,
+void VirtualWorld::tickLater(const std::string &Name, std::uint64_t Incarnation,
                              Duration Interval,
                              const std::function<void()> &Tick) {
-  this->after(Interval, [this, Name, Life, Interval, Tick] {
+  this->after(Interval, [this, Name, Incarnation, Interval, Tick] {
     this->runFor(
-        Name, Life,
-        [this, Name, Life, Interval, Tick] {
+        Name, Incarnation,
+        [this, Name, Incarnation, Interval, Tick] {
           Tick();
-          this->tickLater(Name, Life, Interval, Tick);
+          this->tickLater(Name, Incarnation, Interval, Tick);
         },
         /*IsTimer=*/true);
   });
@@ -159,11 +159,12 @@
   this->Cuts.insert({From, To});
 }
 
-void VirtualWorld::mendOneWay(const std::string &From, const std::string &To) {
+void VirtualWorld::restoreOneWay(const std::string &From,
+                                 const std::string &To) {
   this->Cuts.erase({From, To});
 }
 
-void VirtualWorld::healAll() {
+void VirtualWorld::reconnectAll() {
   this->Cuts.clear();
   this->Isolated.clear();
   this->Faults = {};
@@ -188,7 +189,8 @@
   Duration Delay = this->DelayBetween(From, To.Node);
   if (this->Filter)
     Delay += this->Filter({From, From}, To, Message);
-  Parcel Sent{{From, From, this->Nodes[From].Life}, To, Message, this->Time};
+  Parcel Sent{
+      {From, From, this->Nodes[From].Incarnation}, To, Message, this->Time};
   bool Lost = this->isCut(From, To.Node) ||
               this->Random() % WholePermille < this->Faults.LossPermille;
   if (Lost) {
@@ -196,7 +198,7 @@
     return;
   }
   this->deliverLater(Sent, Delay);
-  if (this->Random() % WholePermille < this->Faults.DoublePermille)
+  if (this->Random() % WholePermille < this->Faults.DuplicatePermille)
     this->deliverLater(Sent, Delay);
 }
 
@@ -204,19 +206,19 @@
   if (this->Faults.Jitter.count() > 0)
     Delay += Duration(this->Random() %
                       static_cast<std::uint64_t>(this->Faults.Jitter.count()));
-  // A later life at the same address receives it, as on a real network.
+  // A later incarnation at the same address receives it, as on a real network.
   this->after(Delay, [this, Sent] {
     const std::string &From = Sent.From.Node;
     const std::string &To = Sent.To.Node;
     Node &Target = this->Nodes[To];
     bool Lost = this->isCut(From, To);
     bool Late = !Target.Up || Target.Frozen;
-    // Of what arrives the receipt may be lost.
+    // The acknowledgement of a message that arrives may be lost too.
     if (Lost || Late || this->isCut(To, From))
       this->reportFailure(Sent);
     if (Lost)
       return;
-    this->runFor(To, Target.Life, [this, To, Sent] {
+    this->runFor(To, Target.Incarnation, [this, To, Sent] {
       this->Nodes[To].Receive(Sent.From, Sent.Message);
     });
   });
