--- a/tests/http/http_refusal_test.cpp
+++ b/tests/http/http_refusal_test.cpp
@@ -6,10 +6,11 @@
 // malformed request by itself, discards what it has read, and takes the next
 // bytes for a new request, although the rest of the refused one is still
 // arriving. 11 of 11 refusals of the library (413, 400, 500, 501) were followed
-// by the handling of the request inside the body, and 4 MB after a length over
-// the limit were answered by 413 980 times, once per segment. After a refusal
-// the start of the next request is unknown, so the server now determines the
-// ends of requests itself and parses nothing after a refusal.
+// by the handling of the request inside the body ("handled /inside body=0").
+// 4 MB after a length over the limit were answered by 980 times 413, once per
+// segment. After a refusal the start of the next request is unknown, so the
+// server now determines the ends of requests itself and parses nothing after a
+// refusal.
 //
 //===----------------------------------------------------------------------===//
 
