--- a/tests/agent/worker_incarnation_test.cpp
+++ b/tests/agent/worker_incarnation_test.cpp
@@ -99,8 +99,7 @@
 
 // This includes wall clocks that were set back between the two: the agent asks
 // which incarnation is there instead of comparing their start times.
-TEST(WorkerIncarnationTest,
-     ALateAnnouncementOfAnotherIncarnationChangesNothing) {
+TEST(WorkerIncarnationTest, ALateAnnouncementOfAnotherIncarnationIsIgnored) {
   for (std::uint64_t Other : {FirstStartMs - 5000, FirstStartMs + 5000}) {
     attachFirst();
     WorkerProfile Late = profileOf(Other, 99);
--- a/tests/agent/worker_session_test.cpp
+++ b/tests/agent/worker_session_test.cpp
@@ -99,8 +99,7 @@
 }
 
 // An announcement of an incarnation that has ended may arrive late.
-TEST(WorkerSessionTest,
-     AnAnnouncementAppliesOnlyOnceTheLastIncarnationHasEnded) {
+TEST(WorkerSessionTest, AnnouncementsApplyOnceTheLastIncarnationHasEnded) {
   struct Row {
     const char *Name;
     bool HasRuns;
@@ -175,8 +174,7 @@
 
 // An incarnation that drains keeps draining until it ends, and an old
 // announcement does not change its room.
-TEST(WorkerSessionTest,
-     ALateAnnouncementOfTheCurrentIncarnationChangesNothing) {
+TEST(WorkerSessionTest, ALateAnnouncementOfTheCurrentIncarnationIsIgnored) {
   attach();
   WorkerProfile Late = Profile;
   Profile.Draining = true;
--- a/tests/dispatch/upstream_table_test.cpp
+++ b/tests/dispatch/upstream_table_test.cpp
@@ -50,8 +50,7 @@
   }
 }
 
-TEST(UpstreamTableTest,
-     AFailingUpstreamIsEjectedAndReadmittedWithOneTaskAtATime) {
+TEST(UpstreamTableTest, AFailingUpstreamIsEjectedAndReadmittedTaskByTask) {
   for (std::uint32_t I = 0; I < Threshold; ++I) {
     LONGS_EQUAL(4, Table.eligible().size());
     Table.onFailure(0, Threshold, Start);
--- a/tests/entry/coordinator_agents_test.cpp
+++ b/tests/entry/coordinator_agents_test.cpp
@@ -253,8 +253,7 @@
 // The tasks of an earlier incarnation are given up some time after the new one
 // is known. The tasks of the new one must stay counted, or their lease is not
 // renewed.
-TEST(CoordinatorAgentsTest,
-     TasksOfANewIncarnationStayCountedWhenOldOnesAreLost) {
+TEST(CoordinatorAgentsTest, NewTasksStayCountedWhenOldOnesAreLost) {
   struct Row {
     const char *Name;
     bool ByControl;
@@ -350,8 +349,7 @@
 }
 
 // The end of a task that seems to run for long may have been missed.
-TEST(CoordinatorAgentsTest,
-     AnAgentWithALongTaskListsItsOrdersBetweenDispatches) {
+TEST(CoordinatorAgentsTest, AnAgentWithALongTaskListsOrdersBetweenDispatches) {
   addAgent("a");
   LeasedJobRequest Long = request(1, "long");
   Long.Estimate = 5s;
--- a/tests/entry/lease_coordinator_test.cpp
+++ b/tests/entry/lease_coordinator_test.cpp
@@ -87,8 +87,7 @@
 
 // Until its runs are proven to have ended, the job must not start again here,
 // and no caller may be told that it has not run.
-TEST(LeaseCoordinatorTest,
-     AJobResubmittedWhileItIsStoppedStartsOnceItHasEnded) {
+TEST(LeaseCoordinatorTest, AJobResubmittedDuringItsStopStartsOnceItHasEnded) {
   addAgent("a");
   Coordinator.submit(request(1), 1, Now);
   Coordinator.cancel("j", "test", Now);
