--- a/entry/crash_record.cpp
+++ b/entry/crash_record.cpp
@@ -61,7 +61,7 @@
 CrashVerdict CrashRecord::judge(const TaskRecord &Known) const {
   if (Known.StartedLast >= this->Options.MaxCrashesStartedLast ||
       Known.Crashed.size() >= this->Options.MaxCrashesAnyTask)
-    return CrashVerdict::Abandoned;
+    return CrashVerdict::GivenUp;
   bool AllKnown = Known.Lost.size() == Known.Crashed.size();
   bool OnHold =
       Known.Lost.size() >= this->Options.MaxCrashesStartedLast && !AllKnown;
@@ -75,10 +75,10 @@
                                     : this->judge(Found->second);
 }
 
-std::string CrashRecord::describeAbandoned(const std::string &Job) const {
+std::string CrashRecord::describeGivenUp(const std::string &Job) const {
   for (auto It = this->Tasks.lower_bound({Job, 0});
        It != this->Tasks.end() && It->first.Job == Job; ++It) {
-    if (this->judge(It->second) != CrashVerdict::Abandoned)
+    if (this->judge(It->second) != CrashVerdict::GivenUp)
       continue;
     std::string Agents;
     for (const WorkerIncarnation &Worker : It->second.Crashed)
--- a/entry/crash_record.h
+++ b/entry/crash_record.h
@@ -32,16 +32,16 @@
   /// As many workers were lost while running the task as may crash with it. It
   /// isn't known yet whether all of them crashed, so the task isn't placed.
   OnHold,
-  /// Too many workers have crashed while running the task; it is abandoned.
-  Abandoned,
+  /// Too many workers have crashed while running the task; it is given up.
+  GivenUp,
 };
 
 struct CrashRecordOptions {
-  /// A task is abandoned after this many crashes of workers on which it was the
+  /// A task is given up after this many crashes of workers on which it was the
   /// last task started: the tasks started before it had not crashed the worker
   /// until then.
   std::size_t MaxCrashesStartedLast = 2;
-  /// A task is abandoned after this many crashes of workers that were running
+  /// A task is given up after this many crashes of workers that were running
   /// it, whether or not it was started last. A task that merely ran beside the
   /// cause twice is placed once more.
   std::size_t MaxCrashesAnyTask = 3;
@@ -69,9 +69,9 @@
                                            TimePoint Now);
 
   CrashVerdict verdict(const std::string &Job, std::uint32_t Index) const;
-  /// Describes an abandoned task of the job and the workers that crashed while
+  /// Describes a given-up task of the job and the workers that crashed while
   /// running it, for logs and callers. \returns an empty text if there is none.
-  std::string describeAbandoned(const std::string &Job) const;
+  std::string describeGivenUp(const std::string &Job) const;
   std::size_t tasks() const { return this->Tasks.size(); }
   void sweep(TimePoint Now);
 
--- a/entry/lease_coordinator.cpp
+++ b/entry/lease_coordinator.cpp
@@ -84,7 +84,7 @@
       Job *Target = this->find(Id);
       if (Target == nullptr || Target->Phase != JobPhase::Running)
         continue;
-      std::string Why = this->Crashes.describeAbandoned(Id);
+      std::string Why = this->Crashes.describeGivenUp(Id);
       if (Why.empty()) {
         this->schedulePlacement(*Target);
         continue;
--- a/entry/lease_coordinator_intake.cpp
+++ b/entry/lease_coordinator_intake.cpp
@@ -60,7 +60,7 @@
 
 bool LeaseCoordinator::rejectCrashingJob(const LeasedJobRequest &Request,
                                          const std::vector<Caller> &Callers) {
-  std::string Why = this->Crashes.describeAbandoned(Request.Id);
+  std::string Why = this->Crashes.describeGivenUp(Request.Id);
   if (Why.empty())
     return false;
   this->Log.decision(
--- a/entry/leased_job.h
+++ b/entry/leased_job.h
@@ -51,9 +51,9 @@
   Completed,
   /// A task has failed MaxAttempts times.
   Failed,
-  /// Abandoned; no task of the job has started or will start.
+  /// Given up; no task of the job has started or will start.
   NotRun,
-  /// Abandoned; a task may have started.
+  /// Given up; a task may have started.
   Unknown,
 };
 
--- a/main/lease_entry_process.cpp
+++ b/main/lease_entry_process.cpp
@@ -178,15 +178,15 @@
 
 void LeaseEntryProcess::logTableState(Instant Now) {
   TimePoint LastIdle = this->Node.loop().lastIdle();
-  TableStatus Standing = this->Table.status(Now.Steady, LastIdle);
-  if (Standing.State == this->LoggedTable)
+  TableStatus Status = this->Table.status(Now.Steady, LastIdle);
+  if (Status.State == this->LoggedTable)
     return;
-  this->LoggedTable = Standing.State;
+  this->LoggedTable = Status.State;
   this->Log.decision(
       "route_table_state",
-      {{"state", tableStateName(Standing.State)},
-       {"table_age_ms", Standing.ageMillis()},
-       {"newer_known", Standing.NewerKnown},
+      {{"state", tableStateName(Status.State)},
+       {"table_age_ms", Status.ageMillis()},
+       {"newer_known", Status.NewerKnown},
        {"idle_ms_ago", millisBetween(LastIdle, Now.Steady)},
        {"control", this->Announce.describeControl(Now.Steady)},
        {"table_version", this->Catalog.view()->Routes.version()}});
--- a/main/lease_wiring.h
+++ b/main/lease_wiring.h
@@ -78,13 +78,13 @@
 /// An entry looks for another leader at once, as its callers wait for it: with
 /// six replicas it has asked all 0.6 s after a question that stays unanswered,
 /// and knows 0.6 s later that none can be reached, within its table's age.
-constexpr std::chrono::milliseconds EntryAsksOthersAfter{250};
-constexpr std::chrono::milliseconds EntrySearchEvery{60};
+constexpr std::chrono::milliseconds EntrySearchDelay{250};
+constexpr std::chrono::milliseconds EntrySearchInterval{60};
 
 inline AnnouncerOptions planEntryAnnouncer(const NodePlan &Plan) {
   AnnouncerOptions Options = planAnnouncer(Plan);
-  Options.SearchDelay = EntryAsksOthersAfter;
-  Options.SearchInterval = EntrySearchEvery;
+  Options.SearchDelay = EntrySearchDelay;
+  Options.SearchInterval = EntrySearchInterval;
   return Options;
 }
 
--- a/tests/entry/crash_record_test.cpp
+++ b/tests/entry/crash_record_test.cpp
@@ -30,7 +30,7 @@
 
 TEST_GROUP(CrashRecordTest){};
 
-TEST(CrashRecordTest, ATaskIsAbandonedAfterTwoCrashesAndNotBefore) {
+TEST(CrashRecordTest, ATaskIsGivenUpAfterTwoCrashesAndNotBefore) {
   struct Event {
     enum { Lost, Crashed } Kind;
     const char *Agent;
@@ -67,13 +67,13 @@
         {Event::Lost, "b", 1, {}},
         {Event::Crashed, "a", 1, {0}},
         {Event::Crashed, "b", 1, {0}}},
-       CrashVerdict::Abandoned},
+       CrashVerdict::GivenUp},
       {"two incarnations of one worker",
        {{Event::Crashed, "a", 1, {0}}, {Event::Crashed, "a", 2, {0}}},
-       CrashVerdict::Abandoned},
+       CrashVerdict::GivenUp},
       {"crashes reported by agents, without a loss here",
        {{Event::Crashed, "a", 1, {1, 0}}, {Event::Crashed, "b", 4, {0}}},
-       CrashVerdict::Abandoned},
+       CrashVerdict::GivenUp},
       {"twice beside the cause",
        {{Event::Crashed, "a", 1, {0, 1}}, {Event::Crashed, "b", 1, {0, 1}}},
        CrashVerdict::Allowed},
@@ -89,7 +89,7 @@
        {{Event::Crashed, "a", 1, {0, 1}},
         {Event::Crashed, "b", 1, {0, 2}},
         {Event::Crashed, "c", 1, {0, 3}}},
-       CrashVerdict::Abandoned},
+       CrashVerdict::GivenUp},
       {"a crash under other tasks",
        {{Event::Lost, "a", 1, {}}, {Event::Crashed, "a", 1, {1}}},
        CrashVerdict::Allowed},
@@ -111,20 +111,19 @@
         Record.onWorkerCrashed(What.Agent, crash(What.Incarnation, What.Named),
                                Start);
     CHECK_TEXT(Row.Expected == Record.verdict("job", 0), Row.Name);
-    bool Abandoned = !Record.describeAbandoned("job").empty();
-    CHECK_EQUAL_TEXT(Row.Expected == CrashVerdict::Abandoned, Abandoned,
-                     Row.Name);
+    bool GivenUp = !Record.describeGivenUp("job").empty();
+    CHECK_EQUAL_TEXT(Row.Expected == CrashVerdict::GivenUp, GivenUp, Row.Name);
     CHECK_TEXT(Record.verdict("other", 0) == CrashVerdict::Allowed, Row.Name);
   }
 }
 
-TEST(CrashRecordTest, DescribesTheAbandonedTaskAndItsAgents) {
+TEST(CrashRecordTest, DescribesTheGivenUpTaskAndItsAgents) {
   CrashRecord Record;
   Record.onWorkerCrashed("a", crash(1, {3}), Start);
   Record.onWorkerCrashed("b", crash(1, {2, 3}), Start);
   STRCMP_EQUAL("task 3 has crashed the upstreams of a, b",
-               Record.describeAbandoned("beside").c_str());
-  STRCMP_EQUAL("", Record.describeAbandoned("job").c_str());
+               Record.describeGivenUp("beside").c_str());
+  STRCMP_EQUAL("", Record.describeGivenUp("job").c_str());
 }
 
 TEST(CrashRecordTest, RemembersALimitedNumberOfTasks) {
