--- a/agent/lease_keeper.cpp
+++ b/agent/lease_keeper.cpp
@@ -50,7 +50,7 @@
   if (this->HadWorker)
     ++this->Options.Incarnation;
   this->HadWorker = true;
-  this->LastIncarnationLeft = this->Leaving;
+  this->WasLeavingAtAttach = this->Leaving;
   this->FailuresInRow = 0;
   this->Leaving = this->ShuttingDown;
   this->leaveIfDraining(Now);
@@ -200,7 +200,7 @@
   bool Held = Known != this->Tasks.end() &&
               Known->second.Owner.Node == From.Node &&
               Known->second.Order == Order.order();
-  if (Held || this->Ended.contains({From.Node, Order.order()}))
+  if (Held || this->EndedPlacements.contains({From.Node, Order.order()}))
     return;
   bool Fresh = Left >= this->Options.EntryLease / 2;
   peer::LeasedRefusal Refusal = this->refusalFor(Id, Fresh);
@@ -309,9 +309,9 @@
 
 bool LeaseKeeper::fits(const peer::TaskNeeds &Needs) const {
   const peer::TaskNeeds &Room = this->Session.profile().Room;
-  return this->Used.cpu_milli() + Needs.cpu_milli() <= Room.cpu_milli() &&
-         this->Used.memory_mb() + Needs.memory_mb() <= Room.memory_mb() &&
-         this->Used.accelerators() + Needs.accelerators() <=
+  return this->UsedRoom.cpu_milli() + Needs.cpu_milli() <= Room.cpu_milli() &&
+         this->UsedRoom.memory_mb() + Needs.memory_mb() <= Room.memory_mb() &&
+         this->UsedRoom.accelerators() + Needs.accelerators() <=
              Room.accelerators();
 }
 
@@ -389,24 +389,27 @@
                                    Instant Now) {
   LastRun &Last = this->LastRuns[Id];
   Last.Run = std::max<std::uint64_t>(Last.Run + 1, Attempt);
-  Last.Used = Now.Steady;
+  Last.LastUsedAt = Now.Steady;
   return Last.Run;
 }
 
 void LeaseKeeper::reserveRoom(const peer::TaskNeeds &Needs) {
-  this->Used.set_cpu_milli(this->Used.cpu_milli() + Needs.cpu_milli());
-  this->Used.set_memory_mb(this->Used.memory_mb() + Needs.memory_mb());
-  this->Used.set_accelerators(this->Used.accelerators() + Needs.accelerators());
+  this->UsedRoom.set_cpu_milli(this->UsedRoom.cpu_milli() + Needs.cpu_milli());
+  this->UsedRoom.set_memory_mb(this->UsedRoom.memory_mb() + Needs.memory_mb());
+  this->UsedRoom.set_accelerators(this->UsedRoom.accelerators() +
+                                  Needs.accelerators());
 }
 
 void LeaseKeeper::releaseRoom(const peer::TaskNeeds &Needs) {
   auto Less = [](std::uint32_t Held, std::uint32_t Given) {
     return Held - std::min(Held, Given);
   };
-  this->Used.set_cpu_milli(Less(this->Used.cpu_milli(), Needs.cpu_milli()));
-  this->Used.set_memory_mb(Less(this->Used.memory_mb(), Needs.memory_mb()));
-  this->Used.set_accelerators(
-      Less(this->Used.accelerators(), Needs.accelerators()));
+  this->UsedRoom.set_cpu_milli(
+      Less(this->UsedRoom.cpu_milli(), Needs.cpu_milli()));
+  this->UsedRoom.set_memory_mb(
+      Less(this->UsedRoom.memory_mb(), Needs.memory_mb()));
+  this->UsedRoom.set_accelerators(
+      Less(this->UsedRoom.accelerators(), Needs.accelerators()));
 }
 
 } // namespace yardwheel
--- a/agent/lease_keeper.h
+++ b/agent/lease_keeper.h
@@ -34,8 +34,8 @@
   /// the time that a stop takes, this must be over before a caller may resubmit
   /// the job to another entry.
   std::chrono::milliseconds EntryLease{800};
-  /// Time after the end of a run's lease for its stop to take effect. After
-  /// that the worker's own lease ends, which ends all runs on the worker.
+  /// Time allowed for a run to stop after its lease has ended. Then the
+  /// worker's own lease ends, which ends all runs on the worker.
   std::chrono::milliseconds StopAllowance{250};
   /// A task is started only if the worker's lease can last at least this long.
   std::chrono::milliseconds MinWorkerLease{100};
@@ -45,8 +45,8 @@
   /// How long the number of a task's last run is remembered.
   std::chrono::milliseconds RunRetention{60000};
   /// How long the end of a task is held back to be sent together with the ends
-  /// of its job's other tasks here. These take about as long, and the entry can
-  /// only answer once the last one has ended.
+  /// of its job's other tasks here. The tasks of a job usually end at about the
+  /// same time, and the entry can answer only after the last one.
   std::chrono::milliseconds EndBatchDelay{40};
   /// How long the placement of an ended task is remembered. Must be longer than
   /// the time for which an entry may resend a dispatch.
@@ -161,7 +161,8 @@
   };
   struct LastRun {
     std::uint64_t Run = 0;
-    TimePoint Used;
+    /// When the number was last assigned.
+    TimePoint LastUsedAt;
     TimePoint Started;
   };
 
@@ -187,6 +188,7 @@
   /// Rejects those tasks of a dispatch that could not start at once.
   void refuseQueued(const PeerRef &From, const peer::LeasedDispatch &Dispatch,
                     Instant Now);
+  /// \param Fresh Whether at least half of EntryLease remains.
   peer::LeasedRefusal refusalFor(const TaskId &Id, bool Fresh) const;
   void onStop(const PeerRef &From, const peer::LeasedStop &Stop, Instant Now);
   void onInterest(const PeerRef &From, const peer::LeasedInterest &Request,
@@ -201,6 +203,7 @@
                     Instant Now);
   /// Rejects queued tasks that would not even fit into an idle worker.
   void rejectOversized(Instant Now);
+  /// Rejects the task if it is queued; stops its run if it is running.
   void dropTask(const TaskId &Id, peer::LeasedRefusal Cause,
                 const std::string &Reason, Instant Now);
 
@@ -209,11 +212,11 @@
   void startFitting(Instant Now);
   std::vector<TaskId> sortedQueue(Instant Now) const;
   void startTask(const TaskId &Id, Task &TheTask, Instant Now);
-  /// Whether runs may be started: the worker is ready, and a start can bring it
-  /// a lease that is long enough.
+  /// Whether runs may be started: the worker is ready, and the lease that it
+  /// can get now lasts at least MinWorkerLease.
   bool canStartRuns(Instant Now) const;
-  /// Whether the task's lease lasts at least as long as the worker's current
-  /// lease, which would also cover a run started now.
+  /// Whether the task's lease, with StopAllowance added, ends no earlier than
+  /// the worker's current lease, which would also cover a run started now.
   bool outlastsWorkerLease(const Task &TheTask) const;
   bool fits(const peer::TaskNeeds &Needs) const;
   /// Whether more room is in use than the worker has, as after it shrank.
@@ -234,9 +237,9 @@
   void flushUpdates(const PeerRef &Entry);
   void flushDueUpdates(Instant Now);
   /// \param WithAllCrashes Whether to include crashes older than
-  /// RecentCrashWindow. Set only in replies to renewals, which each entry
-  /// requests within two seconds: every update about a run carries a load, and
-  /// a crash may list many tasks.
+  /// RecentCrashWindow. True only in replies to renewals; each entry renews at
+  /// least every two seconds. Other messages omit older crashes, because every
+  /// task update carries a load and a crash may list many tasks.
   peer::WorkerLoad loadFor(const std::string &Entry, Instant Now,
                            bool WithAllCrashes = false) const;
   Task *findTask(const RunKey &Run);
@@ -246,6 +249,7 @@
   void dropExpired(Instant Now);
   void dropLapsed(Instant Now);
   void dropOverdue(Instant Now);
+  /// Forgets crashes, ended placements and run numbers whose retention is over.
   void sweep(Instant Now);
 
   KeeperOptions Options;
@@ -268,7 +272,7 @@
   };
   std::map<std::string, UpdateBatch> PendingUpdates;
   /// Placements that have ended here, with the time of their end.
-  std::map<Placement, TimePoint> Ended;
+  std::map<Placement, TimePoint> EndedPlacements;
   /// Crashes of the worker; reported to all entries with the load.
   struct Crash {
     peer::WorkerCrash Report;
@@ -277,18 +281,19 @@
   std::deque<Crash> Crashes;
   OfferQueue Offers;
   /// Room taken by runs and by offers.
-  peer::TaskNeeds Used;
+  peer::TaskNeeds UsedRoom;
   TimePoint NoRoomUntil = TimePoint::min();
-  TimePoint NextSweep = TimePoint::min();
-  TimePoint NextOrderSweep = TimePoint::min();
+  TimePoint NextRunSweep = TimePoint::min();
+  TimePoint NextPlacementSweep = TimePoint::min();
   bool Leaving = false;
   bool ShuttingDown = false;
-  /// Whether the worker's previous incarnation had announced that it would
-  /// leave.
-  bool LastIncarnationLeft = false;
+  /// Whether this agent was leaving when the current worker incarnation
+  /// attached.
+  bool WasLeavingAtAttach = false;
   /// Whether a worker incarnation was attached before.
   bool HadWorker = false;
-  /// Consecutive failures of the worker since its last successful run.
+  /// Consecutive runs that failed, stalled or went unanswered; reset by a
+  /// successful run and when a worker incarnation attaches.
   std::uint32_t FailuresInRow = 0;
   KeeperCounters Counters;
 };
--- a/agent/lease_keeper_ends.cpp
+++ b/agent/lease_keeper_ends.cpp
@@ -38,12 +38,13 @@
     return;
   TaskId Id{Run.Job, Run.Index};
   this->releaseRoom(TheTask->Needs);
-  this->Log.decision("run_refused", {{"job", Run.Job},
-                                     {"task", Run.Index},
-                                     {"run", Run.Run},
-                                     {"refusal", refusalName(Cause)},
-                                     {"used_cpu_milli", this->Used.cpu_milli()},
-                                     {"queued", this->Queue.size()}});
+  this->Log.decision("run_refused",
+                     {{"job", Run.Job},
+                      {"task", Run.Index},
+                      {"run", Run.Run},
+                      {"refusal", refusalName(Cause)},
+                      {"used_cpu_milli", this->UsedRoom.cpu_milli()},
+                      {"queued", this->Queue.size()}});
   if (Cause == WorkerRefusal::StaleRun)
     this->LastRuns[Id].Run += RunNumberStep;
   bool Wanted = TheTask->State == Phase::Running;
@@ -108,7 +109,7 @@
        {"ran_ms", millisBetween(TheTask->Started, Now.Steady)}});
   // The entry counts the task as lost with the agent's earlier incarnation.
   if (Outcome == RunOutcome::Unknown) {
-    this->Ended[{TheTask->Owner.Node, TheTask->Order}] = Now.Steady;
+    this->EndedPlacements[{TheTask->Owner.Node, TheTask->Order}] = Now.Steady;
     this->Tasks.erase(Id);
     return;
   }
@@ -117,7 +118,7 @@
                                     : peer::REFUSAL_NONE;
   bool WorkerLost = Outcome == RunOutcome::Lapsed &&
                     !this->Session.isResponsive() && !this->Leaving &&
-                    !this->LastIncarnationLeft;
+                    !this->WasLeavingAtAttach;
   this->sendUpdate(Id, *TheTask, Event, Refusal, runOutcomeName(Outcome), Now,
                    WorkerLost);
   this->Tasks.erase(Id);
@@ -238,7 +239,7 @@
   if (TheTask.State != Phase::Queued)
     Update->set_service_us((Now.Steady - TheTask.Started).count());
   *Update->mutable_load() = this->loadFor(TheTask.Owner.Node, Now);
-  this->Ended[{TheTask.Owner.Node, TheTask.Order}] = Now.Steady;
+  this->EndedPlacements[{TheTask.Owner.Node, TheTask.Order}] = Now.Steady;
   if (Event == peer::LEASED_DONE && this->canBatch(Id, TheTask)) {
     UpdateBatch &Held = this->PendingUpdates[TheTask.Owner.Node];
     if (Held.Updates.empty())
--- a/agent/lease_keeper_leases.cpp
+++ b/agent/lease_keeper_leases.cpp
@@ -112,17 +112,17 @@
   while (!this->Crashes.empty() &&
          Now.Steady - this->Crashes.front().At > this->Options.CrashRetention)
     this->Crashes.pop_front();
-  if (Now.Steady >= this->NextOrderSweep) {
-    this->NextOrderSweep = Now.Steady + this->Options.PlacementRetention;
-    std::erase_if(this->Ended, [&](const auto &Item) {
+  if (Now.Steady >= this->NextPlacementSweep) {
+    this->NextPlacementSweep = Now.Steady + this->Options.PlacementRetention;
+    std::erase_if(this->EndedPlacements, [&](const auto &Item) {
       return Now.Steady - Item.second > this->Options.PlacementRetention;
     });
   }
-  if (Now.Steady < this->NextSweep)
+  if (Now.Steady < this->NextRunSweep)
     return;
-  this->NextSweep = Now.Steady + this->Options.RunRetention;
+  this->NextRunSweep = Now.Steady + this->Options.RunRetention;
   std::erase_if(this->LastRuns, [&](const auto &Item) {
-    return Now.Steady - Item.second.Used > this->Options.RunRetention;
+    return Now.Steady - Item.second.LastUsedAt > this->Options.RunRetention;
   });
 }
 
--- a/core/input_progress.h
+++ b/core/input_progress.h
@@ -17,8 +17,9 @@
 /// Returns whether a process keeps up with its input at \p Now and has done so
 /// since \p Watched, the time of the last check (TimePoint::min() if none).
 /// \param MaxGap After a longer gap, new messages may still be unread.
-inline bool keepsUp(TimePoint Now, TimePoint Watched, TimePoint LastIdle,
-                    std::chrono::milliseconds MaxGap) {
+inline bool keepsUpWithInput(TimePoint Now, TimePoint Watched,
+                             TimePoint LastIdle,
+                             std::chrono::milliseconds MaxGap) {
   // A process that has just been resumed may look idle before it has read
   // anything. The long time since the last check shows that it was not running.
   return Watched != TimePoint::min() && Now - Watched <= MaxGap &&
--- a/dispatch/load_forecast.cpp
+++ b/dispatch/load_forecast.cpp
@@ -6,13 +6,13 @@
 namespace yardwheel {
 
 void LoadForecast::onReport(double Share, TimePoint Now) {
-  std::chrono::duration<double> Age = Now - this->LastReport;
+  std::chrono::duration<double> Age = Now - this->LastReportAt;
   std::chrono::duration<double> Window = this->Options.PoolWindow;
   double Weight = std::exp(-Age / Window);
   this->ReportWeight = Weight * this->ReportWeight + 1;
   this->ShareSum = Weight * this->ShareSum + Share;
   this->ShareSquareSum = Weight * this->ShareSquareSum + Share * Share;
-  this->LastReport = Now;
+  this->LastReportAt = Now;
 }
 
 void LoadForecast::onTaskEnded(std::chrono::milliseconds RunTime) {
--- a/dispatch/load_forecast.h
+++ b/dispatch/load_forecast.h
@@ -4,13 +4,12 @@
 /// Estimates from a worker's last load report how much of the worker other
 /// entries use now, and how certain that is.
 ///
-/// Load pattern: many entries share many workers, so that each entry rarely
-/// hears from any particular worker. An old report then says little: tasks that
-/// ran there have ended and others have started. An entry that takes it for the
-/// current load sends whole jobs to workers that have long been full. The
-/// estimate therefore decays from the reported load to the pool's mean, at the
-/// rate at which tasks end, while its deviation grows to the spread among the
-/// workers.
+/// Many entries share many workers, so each entry rarely hears from any
+/// particular worker. An old report then says little: tasks that ran there have
+/// ended and others have started. An entry that takes it for the current load
+/// sends whole jobs to workers that have long been full. The estimate therefore
+/// decays from the reported load to the pool's mean, at the rate at which tasks
+/// end, while its deviation grows to the spread among the workers.
 ///
 //===----------------------------------------------------------------------===//
 #ifndef YARDWHEEL_DISPATCH_LOAD_FORECAST_H
@@ -21,25 +20,25 @@
 namespace yardwheel {
 
 struct ForecastOptions {
-  /// Time over which the pool's mean and spread are averaged. Short enough to
-  /// follow a burst within half a second, with some tens of reports in the
-  /// mean.
+  /// Time over which the pool's mean and spread are averaged. This follows a
+  /// burst within half a second and still averages some tens of reports.
   std::chrono::milliseconds PoolWindow{500};
-  /// Assumed run time until some tasks have ended.
+  /// Assumed run time until a task has ended.
   std::chrono::milliseconds InitialRunTime{200};
-  /// Factor by which the weight of a task's run time decreases with each later
-  /// task, so that about a hundred tasks count.
+  /// Factor applied to the weights of all earlier tasks at each new one, so
+  /// that about the last hundred tasks count.
   double WeightKeptPerTask = 0.99;
 };
 
-/// Load as a share of a worker's capacity; above 1 if tasks wait.
+/// Load by other entries, as a share of a worker's capacity; above 1 if tasks
+/// wait.
 struct Forecast {
   double Share = 0;
   /// Standard deviation of the actual share around Share.
   double Deviation = 0;
 };
 
-/// The forecast for the workers of one pool.
+/// Forecasts the load of the workers of one pool.
 class LoadForecast {
 public:
   explicit LoadForecast(ForecastOptions Options = {}) : Options(Options) {}
@@ -56,12 +55,13 @@
   double shareAt(double Share, Duration Age) const;
 
 private:
-  /// Returns the weight of a report of the given age.
+  /// Returns how much of a report's difference from the pool's mean remains at
+  /// the given age, from 1 down to 0.
   double weightAfter(Duration Age) const;
   double poolMean() const;
   double poolDeviation() const;
-  /// Returns the mean run time of a unit of work in progress, which is the time
-  /// constant of the decay.
+  /// Returns the time constant of the decay: the mean run time of the tasks,
+  /// weighted by run time; InitialRunTime until a task has ended.
   std::chrono::duration<double> timeConstant() const;
 
   ForecastOptions Options;
@@ -70,7 +70,7 @@
   double ReportWeight = 0;
   double ShareSum = 0;
   double ShareSquareSum = 0;
-  TimePoint LastReport;
+  TimePoint LastReportAt;
   /// Weighted sums of the run times of tasks, in seconds, and of their squares.
   double RunTimeSum = 0;
   double RunTimeSquareSum = 0;
--- a/entry/table_lease.cpp
+++ b/entry/table_lease.cpp
@@ -18,14 +18,15 @@
   return "unknown";
 }
 
-void TableLease::confirm(TimePoint Asked) {
-  this->LastConfirmed.store(std::max(this->LastConfirmed.load(), Asked));
+void TableLease::confirm(TimePoint RequestSentAt) {
+  this->LastConfirmed.store(
+      std::max(this->LastConfirmed.load(), RequestSentAt));
 }
 
 bool TableLease::isLeaderUnreachable(TimePoint Now) const {
-  // All replicas must have been asked: that one refuses or doesn't answer says
-  // nothing about the others. An old table was once served for 7 s while the
-  // majority of control accepted changes.
+  // All replicas must have been asked: one that refuses or doesn't answer says
+  // nothing about the others. Counting one as enough let an old table be served
+  // for 7 s while the majority of control accepted changes.
   TimePoint Since = this->NoLeaderSince.load();
   return Since != TimePoint::min() && Now - Since <= this->Options.MaxAge;
 }
@@ -42,12 +43,13 @@
     return Result;
   auto Age = std::chrono::duration_cast<std::chrono::milliseconds>(Now - Last);
   Result.Age = Age;
-  // A newer revision at a peer came into force less than this age ago.
+  // NewerKnown does not matter here: the table was still the newest one at most
+  // Age ago, so any newer revision came into force after that.
   if (Age <= this->Options.MaxAge)
     Result.State = TableState::Current;
   else if (!Result.NewerKnown &&
-           keepsUp(Now, this->LastTick.load(), LastIdle,
-                   this->Options.MaxInputStall) &&
+           keepsUpWithInput(Now, this->LastTick.load(), LastIdle,
+                            this->Options.MaxInputStall) &&
            this->isLeaderUnreachable(Now))
     Result.State = TableState::Unreachable;
   return Result;
--- a/entry/table_lease.h
+++ b/entry/table_lease.h
@@ -68,7 +68,7 @@
   void setNoLeaderSince(TimePoint Since) { this->NoLeaderSince.store(Since); }
   /// Records an answer of control: the table was the newest one at some time
   /// after the request was sent at \p Asked.
-  void confirm(TimePoint Asked);
+  void confirm(TimePoint RequestSentAt);
   /// Sets the revision of the configuration held here.
   void setHeldRevision(std::uint64_t Revision) {
     this->HeldRevision.store(Revision);
--- a/membership/control_search.cpp
+++ b/membership/control_search.cpp
@@ -34,8 +34,8 @@
 
 void ControlSearch::noteInputProgress(TimePoint Now,
                                       const InputProgress &Input) {
-  if (!keepsUp(Now, this->LastProgressCheck, Input.LastIdle,
-               this->Options.MaxInputDelay))
+  if (!keepsUpWithInput(Now, this->LastProgressCheck, Input.LastIdle,
+                        this->Options.MaxInputDelay))
     this->SilenceCountsSince = Now;
   this->LastProgressCheck = Now;
   this->LastIdle = Input.LastIdle;
--- a/tests/entry/coordinator_placement_test.cpp
+++ b/tests/entry/coordinator_placement_test.cpp
@@ -8,7 +8,8 @@
 TEST_GROUP_BASE(CoordinatorPlacementTest, CoordinatorFixture){};
 
 // An entry knows the tasks of other entries only from the last message, so
-// several entries choose the same worker that each considers idle.
+// several entries choose the same worker that each considers idle. The worker's
+// agent refuses what it cannot start.
 TEST(CoordinatorPlacementTest, TasksThatABusyAgentRefusesMoveTogetherAtOnce) {
   addAgent("a", 4000);
   addAgent("b", 4000);
@@ -37,8 +38,8 @@
   LONGS_EQUAL(2, Sink.Dispatches[2].second.tasks_size());
 }
 
-// Otherwise tasks would move between agents for as long as all workers are
-// full.
+// Without this limit, tasks would move between agents for as long as all
+// workers are full.
 TEST(CoordinatorPlacementTest, AfterSomeRefusalsTasksWaitInTheAgentsQueue) {
   addAgent("a", 1000);
   CoordinatorOptions Options;
@@ -61,8 +62,8 @@
   CHECK_FALSE(Sink.Dispatches.back().second.start_or_refuse());
 }
 
-// In the queue of one worker, a task would have to wait for a slot of that
-// worker.
+// A task queued at one worker can start only there, even if another worker has
+// room earlier.
 TEST(CoordinatorPlacementTest, UrgentTasksWithoutCapacityTakeTheFirstOffers) {
   for (const char *Agent : {"a", "b", "c"})
     addAgent(Agent, 1000);
@@ -110,8 +111,8 @@
   LONGS_EQUAL(1, Sink.DeclinedOffers["a"]);
 }
 
-// Offers cost messages, and a large pool nearly always has a worker with free
-// capacity.
+// Offers cost additional messages, and in a large pool a worker with free
+// capacity is nearly always found without them.
 TEST(CoordinatorPlacementTest, InALargePoolTasksAreQueuedAtWorkers) {
   WaitingOptions Limits;
   std::size_t Workers = Limits.MaxWorkers + 1;
@@ -124,7 +125,8 @@
   LONGS_EQUAL(Workers + 1, Sink.Dispatches.size());
 }
 
-// Jobs are shed as well when the load consists of tasks that wait for offers.
+// If tasks that wait for offers did not count, no jobs would be shed however
+// many such tasks there are.
 TEST(CoordinatorPlacementTest, TasksThatWaitForOffersCountAsLoad) {
   addAgent("a", 1000);
   Coordinator.submit(patientRequest(1, "full"), 1, Now);
@@ -145,7 +147,8 @@
   LONGS_EQUAL(1, Sink.Dispatches.size());
 }
 
-// A worker on which tasks stall still answers every call.
+// Tasks may stall on a worker that still answers every call, so only their run
+// time shows it.
 TEST(CoordinatorPlacementTest, AStragglerIsStoppedAndMoved) {
   addAgent("a", 2000);
   addAgent("b", 2000);
@@ -158,7 +161,8 @@
   advance(100ms);
   LONGS_EQUAL(0, Sink.StallStops.size());
   advance(400ms);
-  // Asks to stop both tasks there, and repeats that only after a delay.
+  // The agent is asked to stop both tasks, and is asked again only after a
+  // delay.
   CHECK(Sink.StallStops.size() >= 2);
   CHECK(Sink.StallStops[0].second.longer_than_ms() > 100);
   STRCMP_EQUAL(Sink.Dispatches[2].first.c_str(),
@@ -169,7 +173,8 @@
     CHECK(Sink.Dispatches[I].first != Sink.Dispatches[2].first);
 }
 
-// Such a worker holds no tasks and so looks less loaded than all others.
+// A worker that does not answer starts holds no tasks, so it looks less loaded
+// than all others.
 TEST(CoordinatorPlacementTest, AWorkerThatDoesNotAnswerStartsIsAvoided) {
   addAgent("a");
   addAgent("b");
@@ -213,7 +218,8 @@
   LONGS_EQUAL(4, Sink.Dispatches.back().second.tasks_size());
 }
 
-// Otherwise each entry would have to lose tasks there to find out.
+// If entries did not share failures, each would have to lose tasks at the
+// worker to learn of them.
 TEST(CoordinatorPlacementTest, FailuresSeenByOtherEntriesEjectAWorker) {
   auto ReportFailures = [&](std::uint32_t Failures) {
     peer::Message Message;
@@ -269,9 +275,9 @@
   LONGS_EQUAL(1, Answers.Answers.size());
 }
 
-// After a stall, an entry reads the messages that agents sent meanwhile before
-// it checks deadlines, and only later that callers have closed their
-// connections.
+// After a stall, an entry first reads the messages that agents sent meanwhile,
+// then checks deadlines, and only later notices closed connections of callers.
+// Without this check it would place tasks for callers that no longer wait.
 TEST(CoordinatorPlacementTest, NothingIsPlacedForACallerThatNoLongerWaits) {
   struct Row {
     const char *Name;
