--- a/main/control_process.cpp
+++ b/main/control_process.cpp
@@ -28,9 +28,9 @@
   LinkNode Node;
   ControlService Service;
   std::shared_ptr<ControlHttp> Http;
-  std::atomic<std::size_t> Open{0};
-  bool Led = false;
-  HttpServer Operators;
+  std::atomic<std::size_t> OpenProposals{0};
+  bool WasLeader = false;
+  HttpServer OperatorServer;
 };
 
 ControlProcess::ControlProcess(const Settings &Values)
@@ -42,7 +42,7 @@
               this->Source.now()),
       Http(std::make_shared<ControlHttp>(this->Node.loop(), this->Service,
                                          Values.Node, this->Incarnation)),
-      Operators({.Listen = Values.Control.HttpListen}, this->Http) {
+      OperatorServer({.Listen = Values.Control.HttpListen}, this->Http) {
   if (this->Storage.tornBytes() > 0)
     this->Log.warning("A torn tail of {} bytes was cut from the log.",
                       this->Storage.tornBytes());
@@ -77,20 +77,20 @@
 void ControlProcess::tick(Instant Now) {
   this->Service.tick(Now);
   this->Node.links().setRevision(this->Service.catalog().revision());
-  this->Open.store(this->Service.openProposals());
+  this->OpenProposals.store(this->Service.openProposals());
   bool Leads = this->Service.raft().leads();
-  if (Leads != this->Led)
+  if (Leads != this->WasLeader)
     this->Log.info("Replica {} {} in term {}.", this->Values.Node,
                    Leads ? "leads" : "no longer leads",
                    this->Service.raft().term());
-  this->Led = Leads;
+  this->WasLeader = Leads;
 }
 
 void ControlProcess::drain() {
   this->Log.info("Control replica {} drains.", this->Values.Node);
   this->Http->drain();
   waitUntil(this->Values.Control.ProposalTimeout,
-            [this] { return this->Open.load() == 0; });
+            [this] { return this->OpenProposals.load() == 0; });
   this->Node.loop().post([this](Instant Now) { this->Service.drain(Now); });
   constexpr std::chrono::milliseconds Flush{200};
   std::this_thread::sleep_for(Flush);
@@ -98,7 +98,7 @@
 }
 
 void ControlProcess::stop() {
-  this->Operators.stop();
+  this->OperatorServer.stop();
   this->Node.stop();
 }
 
--- a/main/entry_process.cpp
+++ b/main/entry_process.cpp
@@ -35,7 +35,7 @@
   std::shared_ptr<EntryHttp> Http;
   JobService Service;
   Announcer Announce;
-  HttpServer Callers;
+  HttpServer CallerServer;
 };
 
 EntryProcess::EntryProcess(const Settings &Values)
@@ -50,12 +50,13 @@
               this->Metrics),
       Announce(announcerOptions(Values), this->selfAsMember(), this->Catalog,
                this->Node.links(), *this),
-      Callers((this->Http->connect(this->Node.loop(), this->Service),
-               HttpServerOptions{.Listen = Values.Entry.HttpListen,
-                                 .Threads = Values.Entry.HttpThreads,
-                                 .MaxBodyBytes = Values.Entry.MaxBodyBytes,
-                                 .HeaderTimeout = Values.Entry.HeaderTimeout}),
-              this->Http) {
+      CallerServer(
+          (this->Http->connect(this->Node.loop(), this->Service),
+           HttpServerOptions{.Listen = Values.Entry.HttpListen,
+                             .Threads = Values.Entry.HttpThreads,
+                             .MaxBodyBytes = Values.Entry.MaxBodyBytes,
+                             .HeaderTimeout = Values.Entry.HeaderTimeout}),
+          this->Http) {
   this->Node.start({[this](Instant Now) { this->tick(Now); },
                     [this](const peer::Envelope &Envelope, Instant Now) {
                       this->receive(Envelope, Now);
@@ -142,7 +143,7 @@
 }
 
 void EntryProcess::stop() {
-  this->Callers.stop();
+  this->CallerServer.stop();
   this->Node.stop();
 }
 
--- a/main/lease_agent_process.cpp
+++ b/main/lease_agent_process.cpp
@@ -56,7 +56,7 @@
 
 private:
   KeeperOptions keeperOptions() const;
-  void takeProfile(const WorkerProfile &Profile, Instant Now);
+  void applyProfile(const WorkerProfile &Profile, Instant Now);
   /// Tells control of another life of the worker, or that it leaves.
   void announceChanges(Instant Now);
   void receive(const peer::Envelope &Envelope, Instant Now);
@@ -89,7 +89,7 @@
   LeaseKeeper Keeper;
   Announcer Announce;
   std::shared_ptr<platform::AgentGate> Gate;
-  HttpServer Worker;
+  HttpServer WorkerServer;
   HttpServer MetricsServer;
 };
 
@@ -102,7 +102,7 @@
                planMember(Plan, peer::ROLE_AGENT, this->Incarnation),
                this->Catalog, this->Node.links(), *this),
       Gate(std::make_shared<platform::AgentGate>(*this)),
-      Worker({.Listen = Plan.ControlListen, .Threads = 1}, this->Gate),
+      WorkerServer({.Listen = Plan.ControlListen, .Threads = 1}, this->Gate),
       MetricsServer({.Listen = Plan.MetricsListen, .Threads = 1},
                     this->Metrics) {
   this->Node.start({[this](Instant Now) { this->tick(Now); },
@@ -146,10 +146,11 @@
 
 void LeaseAgentProcess::onAnnounced(const WorkerProfile &Profile) {
   this->Node.loop().post(
-      [this, Profile](Instant Now) { this->takeProfile(Profile, Now); });
+      [this, Profile](Instant Now) { this->applyProfile(Profile, Now); });
 }
 
-void LeaseAgentProcess::takeProfile(const WorkerProfile &Profile, Instant Now) {
+void LeaseAgentProcess::applyProfile(const WorkerProfile &Profile,
+                                     Instant Now) {
   this->Keeper.onProfile(Profile, Now);
   this->announceChanges(Now);
 }
@@ -218,9 +219,8 @@
 // ---- The process ----
 
 void LeaseAgentProcess::reload() {
-  takeOverSeeds(this->Node.loop(), this->Log, [this](const auto &Seeds) {
-    this->Announce.addControls(Seeds);
-  });
+  reloadSeeds(this->Node.loop(), this->Log,
+              [this](const auto &Seeds) { this->Announce.addControls(Seeds); });
 }
 
 void LeaseAgentProcess::drain() {
@@ -240,7 +240,7 @@
 void LeaseAgentProcess::publishMetrics(Instant Now) {
   if (Now.Steady < this->NextMetrics)
     return;
-  this->NextMetrics = Now.Steady + MetricsEvery;
+  this->NextMetrics = Now.Steady + MetricsInterval;
   const KeeperCounters &Counts = this->Keeper.counters();
   std::string Text;
   Text += metricLine("yardwheel_runs_started_total", Counts.Started);
@@ -256,12 +256,12 @@
   Text += metricLine("yardwheel_tasks_queued", this->Keeper.queued());
   Text += metricLine("yardwheel_worker_ready",
                      this->Keeper.session().isReady() ? 1 : 0);
-  Text += describeProcess(this->Node, this->Worker);
+  Text += describeProcess(this->Node, this->WorkerServer);
   this->Metrics->publish(std::move(Text));
 }
 
 void LeaseAgentProcess::stop() {
-  this->Worker.stop();
+  this->WorkerServer.stop();
   this->MetricsServer.stop();
   this->Node.stop();
 }
--- a/main/lease_entry_process.cpp
+++ b/main/lease_entry_process.cpp
@@ -16,11 +16,11 @@
 constexpr std::chrono::milliseconds FlushTime{300};
 /// The longest that a job taken during shutdown may still need; the rest of
 /// the grace goes by while new jobs are refused.
-constexpr std::chrono::milliseconds LongestJob{1700};
+constexpr std::chrono::milliseconds MaxJobTime{1700};
 
 /// Of the time for the longest job, kept for the answers to jobs that have not
 /// ended by then.
-constexpr std::chrono::milliseconds GiveUpTime{150};
+constexpr std::chrono::milliseconds CancelTime{150};
 
 /// For a caller on a link that loses packets to send a request whole.
 constexpr std::chrono::milliseconds CallerTimeout{10000};
@@ -61,7 +61,7 @@
   NodeCatalog Catalog;
   std::atomic<bool> Draining{false};
   /// As the balancer was last told; the loop's.
-  Readiness ReadyRule;
+  Readiness ReadinessRule;
   bool Ready = false;
   std::atomic<std::size_t> InFlight{0};
   LinkNode Node;
@@ -73,8 +73,8 @@
   std::shared_ptr<platform::HealthGate> Health;
   LeaseCoordinator Coordinator;
   Announcer Announce;
-  HttpServer Callers;
-  HttpServer Balancer;
+  HttpServer CallerServer;
+  HttpServer HealthServer;
   HttpServer MetricsServer;
 };
 
@@ -91,14 +91,15 @@
       Announce(planEntryAnnouncer(Plan),
                planMember(Plan, peer::ROLE_ENTRY, this->Incarnation),
                this->Catalog, this->Node.links(), *this),
-      Callers((this->Gate->connect(this->Node.loop(), this->Coordinator),
-               HttpServerOptions{.Listen = Plan.CallerListen,
-                                 .Threads = 1,
-                                 .MaxBodyBytes = MaxBodyBytes,
-                                 .HeaderTimeout = CallerTimeout,
-                                 .Headers = platform::EntryGate::headers()}),
-              this->Gate),
-      Balancer({.Listen = Plan.HealthListen, .Threads = 1}, this->Health),
+      CallerServer(
+          (this->Gate->connect(this->Node.loop(), this->Coordinator),
+           HttpServerOptions{.Listen = Plan.CallerListen,
+                             .Threads = 1,
+                             .MaxBodyBytes = MaxBodyBytes,
+                             .HeaderTimeout = CallerTimeout,
+                             .Headers = platform::EntryGate::headers()}),
+          this->Gate),
+      HealthServer({.Listen = Plan.HealthListen, .Threads = 1}, this->Health),
       MetricsServer({.Listen = Plan.MetricsListen, .Threads = 1},
                     this->Metrics) {
   this->Node.start({[this](Instant Now) { this->tick(Now); },
@@ -148,7 +149,7 @@
   Facts.KeepsUp = this->Load.mayBeReady(Now.Steady, LastIdle);
   Facts.Draining = this->Draining.load();
   Facts.Table = this->Table.status(Now.Steady, LastIdle).State;
-  bool Ready = this->ReadyRule.update(Facts, Now.Steady);
+  bool Ready = this->ReadinessRule.update(Facts, Now.Steady);
   if (Ready != this->Ready)
     this->Log.decision("readiness",
                        {{"ready", Ready},
@@ -177,15 +178,15 @@
 
 void LeaseEntryProcess::logTableState(Instant Now) {
   TimePoint LastIdle = this->Node.loop().lastIdle();
-  TableStatus Standing = this->Table.status(Now.Steady, LastIdle);
-  if (Standing.State == this->LoggedTable)
+  TableStatus Status = this->Table.status(Now.Steady, LastIdle);
+  if (Status.State == this->LoggedTable)
     return;
-  this->LoggedTable = Standing.State;
+  this->LoggedTable = Status.State;
   this->Log.decision(
       "route_table_state",
-      {{"state", tableStateName(Standing.State)},
-       {"table_age_ms", Standing.ageMillis()},
-       {"newer_known", Standing.NewerKnown},
+      {{"state", tableStateName(Status.State)},
+       {"table_age_ms", Status.ageMillis()},
+       {"newer_known", Status.NewerKnown},
        {"idle_ms_ago", millisBetween(LastIdle, Now.Steady)},
        {"control", this->Announce.describeControl(Now.Steady)},
        {"table_version", this->Catalog.view()->Routes.version()}});
@@ -211,15 +212,14 @@
 }
 
 void LeaseEntryProcess::reload() {
-  takeOverSeeds(this->Node.loop(), this->Log, [this](const auto &Seeds) {
-    this->Announce.addControls(Seeds);
-  });
+  reloadSeeds(this->Node.loop(), this->Log,
+              [this](const auto &Seeds) { this->Announce.addControls(Seeds); });
 }
 
 void LeaseEntryProcess::drain() {
   this->Draining.store(true);
   this->Health->setReady(false);
-  auto Serve = this->Plan.Times.ShutdownGrace - LongestJob - FlushTime;
+  auto Serve = this->Plan.Times.ShutdownGrace - MaxJobTime - FlushTime;
   // Callers use open connections on, so jobs are taken for a while. Where all
   // have gone elsewhere, the sooner this process is back the better.
   DrainOptions Options;
@@ -233,16 +233,16 @@
   // A request read just before may still be on its way to a loop that is held
   // up, so that no job in flight is no proof; each request read is counted.
   auto AllAnswered = [this] {
-    return this->Callers.answers().unanswered() == 0;
+    return this->CallerServer.answers().unanswered() == 0;
   };
-  if (!waitUntil(LongestJob - GiveUpTime, AllAnswered)) {
+  if (!waitUntil(MaxJobTime - CancelTime, AllAnswered)) {
     this->Log.warning("Entry {} stops with {} jobs in flight.", this->Plan.Node,
                       this->InFlight.load());
     // Their callers learn that the end is not known, instead of being cut off.
     this->Node.loop().post([this](Instant Now) {
       this->Coordinator.cancelAll("this process ends", Now);
     });
-    waitUntil(GiveUpTime, AllAnswered);
+    waitUntil(CancelTime, AllAnswered);
   }
   // Answers handed to the server still have to reach their sockets.
   std::this_thread::sleep_for(FlushTime / 2);
@@ -252,7 +252,7 @@
 void LeaseEntryProcess::publishMetrics(Instant Now) {
   if (Now.Steady < this->NextMetrics)
     return;
-  this->NextMetrics = Now.Steady + MetricsEvery;
+  this->NextMetrics = Now.Steady + MetricsInterval;
   const CoordinatorCounters &Counts = this->Coordinator.counters();
   std::string Text = this->Coordinator.metrics().text();
   Text += metricLine("yardwheel_jobs_completed_total", Counts.Completed);
@@ -273,13 +273,13 @@
   if (Table.Age)
     Text += metricLine("yardwheel_route_table_age_ms", Table.Age->count());
   Text += this->Gate->describeRefusals();
-  Text += describeProcess(this->Node, this->Callers);
+  Text += describeProcess(this->Node, this->CallerServer);
   this->Metrics->publish(std::move(Text));
 }
 
 void LeaseEntryProcess::stop() {
-  this->Callers.stop();
-  this->Balancer.stop();
+  this->CallerServer.stop();
+  this->HealthServer.stop();
   this->MetricsServer.stop();
   this->Node.stop();
 }
--- a/main/lease_wiring.cpp
+++ b/main/lease_wiring.cpp
@@ -6,7 +6,7 @@
 
 namespace yardwheel {
 
-void takeOverSeeds(
+void reloadSeeds(
     EventLoop &Loop, const Logger &Log,
     const std::function<void(const std::vector<PeerRef> &Seeds)> &Take) {
   try {
@@ -18,11 +18,11 @@
   }
 }
 
-std::string describeProcess(LinkNode &Node, const HttpServer &Served) {
+std::string describeProcess(LinkNode &Node, const HttpServer &Server) {
   return metricLine("yardwheel_host_suspensions_total",
                     Node.loop().suspensions()) +
          metricLine("yardwheel_log_lines_dropped_total", Logger::dropped()) +
-         Served.answers().describe() +
+         Server.answers().describe() +
          describeCounters(Node.links().counters());
 }
 
--- a/main/lease_wiring.h
+++ b/main/lease_wiring.h
@@ -44,10 +44,10 @@
 
 /// Between two texts of a process's metrics; the platform reads them less
 /// often.
-constexpr std::chrono::milliseconds MetricsEvery{2000};
+constexpr std::chrono::milliseconds MetricsInterval{2000};
 
 /// What each role's metrics end with.
-std::string describeProcess(LinkNode &Node, const HttpServer &Served);
+std::string describeProcess(LinkNode &Node, const HttpServer &Server);
 
 /// Large enough for any configuration or job on the wire.
 constexpr std::size_t MaxBodyBytes = 1048576;
@@ -67,7 +67,7 @@
 
 /// Reads the settings again and hands \p Take, on the loop, the control
 /// replicas that they name.
-void takeOverSeeds(
+void reloadSeeds(
     EventLoop &Loop, const Logger &Log,
     const std::function<void(const std::vector<PeerRef> &Seeds)> &Take);
 
@@ -78,13 +78,13 @@
 /// An entry looks for another leader at once, as its callers wait for it: with
 /// six replicas it has asked all 0.6 s after a question that stays unanswered,
 /// and knows 0.6 s later that none can be reached, within its table's age.
-constexpr std::chrono::milliseconds EntryAsksOthersAfter{250};
-constexpr std::chrono::milliseconds EntrySearchEvery{60};
+constexpr std::chrono::milliseconds EntrySearchDelay{250};
+constexpr std::chrono::milliseconds EntrySearchInterval{60};
 
 inline AnnouncerOptions planEntryAnnouncer(const NodePlan &Plan) {
   AnnouncerOptions Options = planAnnouncer(Plan);
-  Options.SearchDelay = EntryAsksOthersAfter;
-  Options.SearchInterval = EntrySearchEvery;
+  Options.SearchDelay = EntrySearchDelay;
+  Options.SearchInterval = EntrySearchInterval;
   return Options;
 }
 
--- a/main/seeded_control_process.cpp
+++ b/main/seeded_control_process.cpp
@@ -15,11 +15,11 @@
 
 namespace {
 
-constexpr std::chrono::milliseconds Election{500};
+constexpr std::chrono::milliseconds ElectionTimeout{500};
 constexpr std::chrono::milliseconds MemberLease{3000};
 /// Below the time that an operator gives a call with a large body.
 constexpr std::chrono::milliseconds ProposalTimeout{2000};
-constexpr std::uint64_t SnapshotEvery = 200;
+constexpr std::uint64_t EntriesPerSnapshot = 200;
 
 /// How this replica is known; it owns its address but not its name, which
 /// ends with its disk.
@@ -60,7 +60,8 @@
   return Identity;
 }
 
-std::string settleIdentity(const NodePlan &Plan, std::uint64_t Incarnation) {
+std::string loadOrCreateIdentity(const NodePlan &Plan,
+                                 std::uint64_t Incarnation) {
   if (auto Known = findIdentity(Plan.DataDir))
     return Known->replica();
   peer::Identity New = newIdentity(Plan, Incarnation);
@@ -93,23 +94,23 @@
   FileLogStorage Storage;
   LinkNode Node;
   ControlService Service;
-  std::atomic<std::size_t> Open{0};
+  std::atomic<std::size_t> OpenProposals{0};
   std::string LastLeader;
-  HttpServer Operators;
+  HttpServer OperatorServer;
   HttpServer MetricsServer;
 };
 
 SeededControlProcess::SeededControlProcess(const NodePlan &Plan)
-    : Plan(Plan), Replica(settleIdentity(Plan, this->Incarnation)),
+    : Plan(Plan), Replica(loadOrCreateIdentity(Plan, this->Incarnation)),
       Storage(Plan.DataDir, DeployedCluster, this->Replica),
       Node(this->identity(), {}, this->Source, LeaseTick),
       Service(this->controlOptions(), this->Storage, this->Node.links(),
               this->Source.now()),
-      Operators({.Listen = Plan.ControlListen,
-                 .Threads = 1,
-                 .MaxBodyBytes = MaxBodyBytes},
-                std::make_shared<platform::ControlGate>(
-                    this->Node.loop(), this->Service, this->Replica)),
+      OperatorServer({.Listen = Plan.ControlListen,
+                      .Threads = 1,
+                      .MaxBodyBytes = MaxBodyBytes},
+                     std::make_shared<platform::ControlGate>(
+                         this->Node.loop(), this->Service, this->Replica)),
       MetricsServer({.Listen = Plan.MetricsListen, .Threads = 1},
                     this->Metrics) {
   this->Node.start({[this](Instant Now) { this->tick(Now); },
@@ -135,8 +136,8 @@
 ControlOptions SeededControlProcess::controlOptions() const {
   ControlOptions Options;
   Options.Raft.Name = this->Replica;
-  Options.Raft.ElectionTimeout = Election;
-  Options.Raft.EntriesPerSnapshot = SnapshotEvery;
+  Options.Raft.ElectionTimeout = ElectionTimeout;
+  Options.Raft.EntriesPerSnapshot = EntriesPerSnapshot;
   Options.Raft.Seed = this->Incarnation;
   // Best-effort jobs are claimed nowhere.
   Options.Groups.Groups = 0;
@@ -159,7 +160,7 @@
   this->publishMetrics(Now);
   this->Service.tick(Now, this->Node.loop().lastBehind());
   this->Node.links().setRevision(this->Service.catalog().revision());
-  this->Open.store(this->Service.openProposals());
+  this->OpenProposals.store(this->Service.openProposals());
   const std::string &Leader = this->Service.raft().leader();
   if (Leader == this->LastLeader)
     return;
@@ -170,12 +171,13 @@
 }
 
 void SeededControlProcess::reload() {
-  takeOverSeeds(this->Node.loop(), this->Log,
-                [this](const auto &Seeds) { this->Service.setSeeds(Seeds); });
+  reloadSeeds(this->Node.loop(), this->Log,
+              [this](const auto &Seeds) { this->Service.setSeeds(Seeds); });
 }
 
 void SeededControlProcess::drain() {
-  waitUntil(ProposalTimeout, [this] { return this->Open.load() == 0; });
+  waitUntil(ProposalTimeout,
+            [this] { return this->OpenProposals.load() == 0; });
   this->Node.loop().post([this](Instant Now) { this->Service.drain(Now); });
   constexpr std::chrono::milliseconds Flush{200};
   std::this_thread::sleep_for(Flush);
@@ -185,7 +187,7 @@
 void SeededControlProcess::publishMetrics(Instant Now) {
   if (Now.Steady < this->NextMetrics)
     return;
-  this->NextMetrics = Now.Steady + MetricsEvery;
+  this->NextMetrics = Now.Steady + MetricsInterval;
   const RaftNode &Raft = this->Service.raft();
   std::string Text;
   Text += metricLine("yardwheel_control_leads", Raft.leads() ? 1 : 0);
@@ -197,12 +199,12 @@
       metricLine("yardwheel_members", this->Service.members().entries().size());
   Text += metricLine("yardwheel_route_table_version",
                      this->Service.catalog().routes().version());
-  Text += describeProcess(this->Node, this->Operators);
+  Text += describeProcess(this->Node, this->OperatorServer);
   this->Metrics->publish(std::move(Text));
 }
 
 void SeededControlProcess::stop() {
-  this->Operators.stop();
+  this->OperatorServer.stop();
   this->MetricsServer.stop();
   this->Node.stop();
 }
--- a/main/yardwheeld.cpp
+++ b/main/yardwheeld.cpp
@@ -88,11 +88,11 @@
 }
 
 /// Between two looks at the settings file, which may change without a signal.
-constexpr timespec SettingsLook{1, 0};
+constexpr timespec SettingsPollInterval{1, 0};
 
 /// Waits for a signal, for at most a while. \returns its number, or 0.
 int waitForSignal(const sigset_t &Signals) {
-  int Signal = sigtimedwait(&Signals, nullptr, &SettingsLook);
+  int Signal = sigtimedwait(&Signals, nullptr, &SettingsPollInterval);
   return std::max(Signal, 0);
 }
 
--- a/tests/system/tool_test.cpp
+++ b/tests/system/tool_test.cpp
@@ -10,7 +10,7 @@
 
 TEST_GROUP(ToolTest){};
 
-TEST(ToolTest, CommandsAnswerWithCodesThatScriptsCanUse) {
+TEST(ToolTest, CommandsReturnDocumentedExitCodes) {
   SystemCluster Cluster({.Controls = 3, .Entries = 2});
   Cluster.start();
   std::string Job = Cluster.folder() + "/job.json";
@@ -75,7 +75,7 @@
   }
 }
 
-TEST(ToolTest, MetricsHaveHistogramsForEachWorkspaceAndClass) {
+TEST(ToolTest, MetricsHaveHistogramsPerWorkspaceAndClass) {
   SystemCluster Cluster({.Controls = 1, .Entries = 1});
   Cluster.start();
   Cluster.submit("e1", R"({"tasks":[{"payload":"a"},{"payload":"b"}]})");
@@ -95,7 +95,7 @@
   LONGS_EQUAL(200, Cluster.call("GET", Control + "/readyz").Status);
 }
 
-TEST(ToolTest, ALostReplicaIsReplacedWithTheTool) {
+TEST(ToolTest, OperatorReplacesALostReplica) {
   SystemCluster Cluster(SystemOptions{});
   Cluster.start();
   std::string Leader = Cluster.leader();
--- a/tests/tool/comparison_test.cpp
+++ b/tests/tool/comparison_test.cpp
@@ -18,7 +18,7 @@
 
 TEST_GROUP(ComparisonTest){};
 
-TEST(ComparisonTest, OnlyWhatIsMoreThanNoiseIsCalledLower) {
+TEST(ComparisonTest, NamesTheLowerPolicyOnlyIfIntervalsAreDisjoint) {
   struct Row {
     ArmSummary A;
     ArmSummary B;
@@ -34,7 +34,7 @@
     STRCMP_EQUAL(Case.Verdict, verdict(Case.A, Case.B, 0.99).c_str());
 }
 
-TEST(ComparisonTest, ReportsOfSeveralEntriesAddUp) {
+TEST(ComparisonTest, MergesReportsOfSeveralEntries) {
   api::WorkspaceReport Report;
   api::ArmReport *Arm = Report.add_arms();
   Arm->set_policy("p");
--- a/tool/api_client.cpp
+++ b/tool/api_client.cpp
@@ -15,7 +15,7 @@
 constexpr long HttpNotFound = 404;
 constexpr long HttpConflict = 409;
 constexpr long HttpUnavailable = 503;
-constexpr int Rounds = 6;
+constexpr int MaxRounds = 6;
 constexpr std::chrono::milliseconds RoundPause{500};
 
 } // namespace
@@ -44,7 +44,7 @@
                              const std::string &Body) {
   HttpResult Last;
   Last.Problem = "no address is given";
-  for (int Round = 0; Round < Rounds; ++Round) {
+  for (int Round = 0; Round < MaxRounds; ++Round) {
     for (const std::string &Address : Addresses) {
       std::string Url = fmt::format("http://{}{}", Address, Path);
       Last = this->Client.call(Method, Url, Body);
@@ -53,7 +53,7 @@
         return Last;
     }
     // An election or a restart may be under way.
-    if (Round + 1 < Rounds)
+    if (Round + 1 < MaxRounds)
       std::this_thread::sleep_for(RoundPause);
   }
   return Last;
--- a/tool/cluster_commands.cpp
+++ b/tool/cluster_commands.cpp
@@ -63,8 +63,8 @@
   Document.mutable_replica()->set_name(Line.Words[1]);
   Document.mutable_replica()->set_address(Line.get("address"));
   Document.mutable_replica()->set_http_address(Line.get("http-address"));
-  return takeChange(Client,
-                    Client.control("POST", "/v1/replicas", toJson(Document)));
+  return printChange(Client,
+                     Client.control("POST", "/v1/replicas", toJson(Document)));
 }
 
 } // namespace yardwheel
--- a/tool/commands.h
+++ b/tool/commands.h
@@ -52,7 +52,7 @@
 std::string readFile(const std::string &Path);
 
 /// Prints what became of a change.
-ExitCode takeChange(ApiClient &Client, const HttpResult &Answer);
+ExitCode printChange(ApiClient &Client, const HttpResult &Answer);
 
 } // namespace yardwheel
 
--- a/tool/comparison.cpp
+++ b/tool/comparison.cpp
@@ -9,9 +9,9 @@
 namespace {
 
 /// Standard deviations of a 95 % interval.
-constexpr double Deviations = 1.96;
+constexpr double StandardDeviations = 1.96;
 /// Fewer completed jobs beyond a quantile say nothing about it.
-constexpr double FewestBeyond = 5;
+constexpr double MinJobsBeyond = 5;
 
 double edgeAtRank(const std::map<double, std::uint64_t> &Buckets, double Rank) {
   double Seen = 0;
@@ -35,7 +35,7 @@
 QuantileEstimate ArmSummary::quantile(double Share) const {
   auto Count = static_cast<double>(this->completed());
   double Middle = Count * Share;
-  double Spread = Deviations * std::sqrt(Count * Share * (1 - Share));
+  double Spread = StandardDeviations * std::sqrt(Count * Share * (1 - Share));
   return {edgeAtRank(this->Slowdown, Middle),
           edgeAtRank(this->Slowdown, std::max(Middle - Spread, 1.0)),
           edgeAtRank(this->Slowdown, std::min(Middle + Spread, Count))};
@@ -72,7 +72,7 @@
 
 std::string verdict(const ArmSummary &A, const ArmSummary &B, double Share) {
   double Fewest = static_cast<double>(std::min(A.completed(), B.completed()));
-  if (Fewest * (1 - Share) < FewestBeyond)
+  if (Fewest * (1 - Share) < MinJobsBeyond)
     return "too few jobs to tell";
   QuantileEstimate First = A.quantile(Share);
   QuantileEstimate Second = B.quantile(Share);
--- a/tool/job_commands.cpp
+++ b/tool/job_commands.cpp
@@ -19,7 +19,7 @@
 }
 
 /// Prints a job's answer; a declared failure is an answer, not an accident.
-ExitCode takeAnswer(ApiClient &Client, const HttpResult &Answer) {
+ExitCode printAnswer(ApiClient &Client, const HttpResult &Answer) {
   if (Answer.Status == 0) {
     fmt::print(stderr, "yardwheelctl: no answer: {}\n", Answer.Problem);
     return ExitCode::Unavailable;
@@ -82,13 +82,13 @@
     Document.set_id(Line.get("id", newId()));
   std::string Path = fmt::format("/v1/workspaces/{}/jobs", Line.Words[0]);
   HttpResult Answer = Client.entry("POST", Path, toJson(Document));
-  return takeAnswer(Client,
-                    pollUntilFinal(Client, Line.Words[0], std::move(Answer)));
+  return printAnswer(Client,
+                     pollUntilFinal(Client, Line.Words[0], std::move(Answer)));
 }
 
 ExitCode showJob(ApiClient &Client, const Arguments &Rest) {
   CommandLine Line = expectWords(Rest, 2, {}, "job show WORKSPACE ID");
-  return takeAnswer(Client, Client.entry("GET", jobPath(Line)));
+  return printAnswer(Client, Client.entry("GET", jobPath(Line)));
 }
 
 ExitCode cancelJob(ApiClient &Client, const Arguments &Rest) {
@@ -97,7 +97,7 @@
   api::JobAnswer Document;
   bool Cancelled = fromJson(Answer.Body, Document).empty() &&
                    Document.failure().kind() == "cancelled";
-  ExitCode Code = takeAnswer(Client, Answer);
+  ExitCode Code = printAnswer(Client, Answer);
   return Cancelled || Answer.Status == HttpOk ? ExitCode::Ok : Code;
 }
 
--- a/tool/policy_commands.cpp
+++ b/tool/policy_commands.cpp
@@ -15,12 +15,12 @@
 
 constexpr double Median = 0.5;
 constexpr double Percentile99 = 0.99;
-constexpr double Permille999 = 0.999;
+constexpr double Percentile999 = 0.999;
 
 ExitCode putExperiment(ApiClient &Client, const std::string &Workspace,
                        const api::ExperimentChange &Document) {
   std::string Path = fmt::format("/v1/workspaces/{}/experiment", Workspace);
-  return takeChange(Client, Client.control("PUT", Path, toJson(Document)));
+  return printChange(Client, Client.control("PUT", Path, toJson(Document)));
 }
 
 /// Reads POLICY=SHARE.
@@ -71,7 +71,7 @@
   for (const ArmSummary &Arm : Arms)
     Rows.push_back(
         {Arm.Policy, fmt::to_string(Arm.Jobs), cell(Arm.quantile(Median)),
-         cell(Arm.quantile(Percentile99)), cell(Arm.quantile(Permille999)),
+         cell(Arm.quantile(Percentile99)), cell(Arm.quantile(Percentile999)),
          failureCell(Arm), fmt::format("{:.4f}", Arm.wastedPerTask())});
   fmt::print("{}", formatTable(Rows));
   for (std::size_t I = 0; I + 1 < Arms.size(); ++I)
--- a/tool/workspace_commands.cpp
+++ b/tool/workspace_commands.cpp
@@ -64,7 +64,7 @@
     Added->set_value(Item.second.Scalar());
   }
   std::string Path = pathOf("templates", Root["name"].Scalar());
-  return takeChange(Client, Client.control("PUT", Path, toJson(Document)));
+  return printChange(Client, Client.control("PUT", Path, toJson(Document)));
 }
 
 ExitCode listTemplates(ApiClient &Client, const Arguments &Rest) {
@@ -99,7 +99,7 @@
   Document.set_template_name(Line.get("template"));
   addParameters(Line, Document);
   std::string Path = pathOf("workspaces", Line.Words[0]);
-  return takeChange(Client, Client.control("POST", Path, toJson(Document)));
+  return printChange(Client, Client.control("POST", Path, toJson(Document)));
 }
 
 ExitCode setWorkspace(ApiClient &Client, const Arguments &Rest) {
@@ -111,7 +111,7 @@
   Document.set_base_version(readVersion(Line));
   addParameters(Line, Document);
   std::string Path = pathOf("workspaces", Line.Words[0]);
-  return takeChange(Client, Client.control("PATCH", Path, toJson(Document)));
+  return printChange(Client, Client.control("PATCH", Path, toJson(Document)));
 }
 
 ExitCode showWorkspace(ApiClient &Client, const Arguments &Rest) {
--- a/tool/yardwheelctl.cpp
+++ b/tool/yardwheelctl.cpp
@@ -192,7 +192,7 @@
   return Text.str();
 }
 
-ExitCode takeChange(ApiClient &Client, const HttpResult &Answer) {
+ExitCode printChange(ApiClient &Client, const HttpResult &Answer) {
   api::ChangeAnswer Document;
   ExitCode Code = Client.take(Answer, Document);
   if (Code == ExitCode::Ok && !Client.options().Json)
