--- a/main/agent_process.cpp
+++ b/main/agent_process.cpp
@@ -102,7 +102,7 @@
 }
 
 void AgentProcess::drain() {
-  this->Log.info("Agent {} drains.", this->Values.Node);
+  this->Log.info("Agent {} is draining.", this->Values.Node);
   this->Node.loop().post([this](Instant Now) {
     this->Core.drain(Now);
     this->Announce.update(
@@ -111,8 +111,9 @@
   bool Done = waitUntil(this->Values.Agent.DrainTimeout,
                         [this] { return this->Idle.load(); });
   if (!Done)
-    this->Log.warning("Agent {} stops with tasks running.", this->Values.Node);
-  // The last results must reach their entries.
+    this->Log.warning("Agent {} stops while tasks are still running.",
+                      this->Values.Node);
+  // Wait until the last results have been sent to their entries.
   constexpr std::chrono::seconds Delivery{3};
   waitUntil(Delivery, [this] { return this->Node.links().isIdle(); });
   this->stop();
--- a/main/control_process.cpp
+++ b/main/control_process.cpp
@@ -44,15 +44,15 @@
                                          Values.Node, this->Incarnation)),
       OperatorServer({.Listen = Values.Control.HttpListen}, this->Http) {
   if (this->Storage.tornBytes() > 0)
-    this->Log.warning("A torn tail of {} bytes was cut from the log.",
+    this->Log.warning("Removed an incomplete tail of {} bytes from the log.",
                       this->Storage.tornBytes());
   this->Node.start({[this](Instant Now) { this->tick(Now); },
                     [this](const peer::Envelope &Envelope, Instant Now) {
                       this->receive(Envelope, Now);
                     },
                     nullptr});
-  this->Log.info("Control replica {} takes operators at {}.", Values.Node,
-                 Values.Control.HttpListen);
+  this->Log.info("Control replica {} accepts operator requests at {}.",
+                 Values.Node, Values.Control.HttpListen);
 }
 
 ControlOptions ControlProcess::controlOptions() const {
@@ -87,7 +87,7 @@
 }
 
 void ControlProcess::drain() {
-  this->Log.info("Control replica {} drains.", this->Values.Node);
+  this->Log.info("Control replica {} is draining.", this->Values.Node);
   this->Http->drain();
   waitUntil(this->Values.Control.ProposalTimeout,
             [this] { return this->OpenProposals.load() == 0; });
--- a/main/entry_process.cpp
+++ b/main/entry_process.cpp
@@ -64,7 +64,7 @@
                     [this](const Undelivered &Lost, Instant Now) {
                       this->Service.onSendFailed(Lost.To.Node, Now);
                     }});
-  this->Log.info("Entry {} takes callers at {}.", Values.Node,
+  this->Log.info("Entry {} accepts jobs at {}.", Values.Node,
                  Values.Entry.HttpListen);
 }
 
@@ -122,8 +122,8 @@
 }
 
 void EntryProcess::drain() {
-  this->Log.info("Entry {} drains.", this->Values.Node);
-  // The balancer is told first, then the cluster.
+  this->Log.info("Entry {} is draining.", this->Values.Node);
+  // Readiness is withdrawn from the load balancer before the cluster is told.
   this->Http->setReady(false);
   this->InFlight.store(SIZE_MAX);
   this->Node.loop().post([this](Instant Now) {
@@ -136,7 +136,7 @@
   if (!Done)
     this->Log.warning("Entry {} stops with {} requests in flight.",
                       this->Values.Node, this->InFlight.load());
-  // Answers handed to the server still have to reach their sockets.
+  // The server needs time to write the last responses to their sockets.
   constexpr std::chrono::milliseconds Flush{200};
   std::this_thread::sleep_for(Flush);
   this->stop();
--- a/main/lease_agent_process.cpp
+++ b/main/lease_agent_process.cpp
@@ -15,15 +15,15 @@
 
 namespace {
 
-/// Between the end of an entry's lease here and the earliest resubmission of
-/// its jobs elsewhere, beside the worker's own time to stop a run: one tick,
-/// a call to the worker and its repetition.
+/// Time between the expiry of an entry's lease at this agent and the earliest
+/// resubmission of its jobs elsewhere, in addition to the worker's own time to
+/// stop a run. It covers one tick, a call to the worker and one retry.
 constexpr std::chrono::milliseconds ResubmitMargin{450};
-/// Of the longest lease that a worker grants, what is asked for: clocks may
-/// be some percent apart.
+/// Share of the longest lease granted by a worker that the agent requests, in
+/// percent. Clock rates may differ by some percent.
 constexpr int WorkerLeasePercent = 90;
 constexpr int Percent = 100;
-/// Kept of the shutdown grace for the last messages' way out.
+/// Part of the shutdown grace reserved for sending the last messages.
 constexpr std::chrono::milliseconds FlushTime{300};
 
 class LeaseAgentProcess final : public Process,
@@ -37,27 +37,29 @@
   void reload() override;
 
   void onConfirmed(TimePoint) override {}
-  /// An entry that cannot reach control learns from agents that there is a
-  /// newer configuration, and serves on by its own no longer.
+  /// Publishes the revision to peers: an entry that cannot reach control
+  /// learns from agents that a newer configuration exists, and stops serving
+  /// with its own.
   void onCatalog(Instant) override {
     this->Node.links().setRevision(this->Catalog.revision());
   }
   void onMember(const peer::Member &, Instant) override {}
   void onNewerIncarnation(std::uint64_t Known, Instant Now) override;
 
-  void onStart(const WorkerIncarnation &Life, const RunKey &Run,
+  void onStart(const WorkerIncarnation &Worker, const RunKey &Run,
                WorkerReply Reply) override;
-  void onStop(const WorkerIncarnation &Life, const RunKey &Run,
+  void onStop(const WorkerIncarnation &Worker, const RunKey &Run,
               WorkerReply Reply) override;
-  void onHold(const WorkerIncarnation &Life, WorkerReply Reply) override;
+  void onHold(const WorkerIncarnation &Worker, WorkerReply Reply) override;
 
   void onAnnounced(const WorkerProfile &Profile) override;
-  void onLeft(const WorkerIncarnation &Life) override;
+  void onLeft(const WorkerIncarnation &Worker) override;
 
 private:
   KeeperOptions keeperOptions() const;
   void applyProfile(const WorkerProfile &Profile, Instant Now);
-  /// Tells control of another life of the worker, or that it leaves.
+  /// Announces a new worker incarnation, changed resources or a shutdown to
+  /// control.
   void announceChanges(Instant Now);
   void receive(const peer::Envelope &Envelope, Instant Now);
   void tick(Instant Now);
@@ -135,7 +137,7 @@
 
 void LeaseAgentProcess::tick(Instant Now) {
   this->publishMetrics(Now);
-  // Nothing is announced before there is a worker to announce.
+  // Without a worker there is nothing to announce.
   if (this->Keeper.session().hasWorker())
     this->Announce.tick(Now);
   this->Keeper.tick(Now);
@@ -184,34 +186,34 @@
   this->announceChanges(Now);
 }
 
-void LeaseAgentProcess::onLeft(const WorkerIncarnation &Life) {
-  this->Node.loop().post([this, Life](Instant Now) {
-    this->Keeper.onWorkerLeft(Life, Now);
+void LeaseAgentProcess::onLeft(const WorkerIncarnation &Worker) {
+  this->Node.loop().post([this, Worker](Instant Now) {
+    this->Keeper.onWorkerLeft(Worker, Now);
     this->announceChanges(Now);
   });
 }
 
-void LeaseAgentProcess::onStart(const WorkerIncarnation &Life,
+void LeaseAgentProcess::onStart(const WorkerIncarnation &Worker,
                                 const RunKey &Run, WorkerReply Reply) {
-  this->Node.loop().post([this, Life, Run, Reply](Instant Now) {
-    this->Keeper.session().onStartReply(Life, Run, Reply, Now);
+  this->Node.loop().post([this, Worker, Run, Reply](Instant Now) {
+    this->Keeper.session().onStartReply(Worker, Run, Reply, Now);
     this->announceChanges(Now);
   });
 }
 
-void LeaseAgentProcess::onStop(const WorkerIncarnation &Life, const RunKey &Run,
-                               WorkerReply Reply) {
-  this->Node.loop().post([this, Life, Run, Reply](Instant Now) {
-    this->Keeper.session().onStopReply(Life, Run, Reply, Now);
+void LeaseAgentProcess::onStop(const WorkerIncarnation &Worker,
+                               const RunKey &Run, WorkerReply Reply) {
+  this->Node.loop().post([this, Worker, Run, Reply](Instant Now) {
+    this->Keeper.session().onStopReply(Worker, Run, Reply, Now);
     this->announceChanges(Now);
   });
 }
 
-void LeaseAgentProcess::onHold(const WorkerIncarnation &Life,
+void LeaseAgentProcess::onHold(const WorkerIncarnation &Worker,
                                WorkerReply Reply) {
-  this->Node.loop().post([this, Life, Reply](Instant Now) {
-    this->Keeper.session().onHoldReply(Life, Reply, Now);
-    // The reply may settle which life of the worker is the present one.
+  this->Node.loop().post([this, Worker, Reply](Instant Now) {
+    this->Keeper.session().onHoldReply(Worker, Reply, Now);
+    // The reply may decide which worker incarnation is current.
     this->announceChanges(Now);
   });
 }
@@ -231,8 +233,9 @@
   bool Done = waitUntil(this->Plan.Times.ShutdownGrace - 2 * FlushTime,
                         [this] { return this->Idle.load(); });
   if (!Done)
-    this->Log.warning("Agent {} stops with tasks running.", this->Plan.Node);
-  // The last ends must reach their entries.
+    this->Log.warning("Agent {} stops while tasks are still running.",
+                      this->Plan.Node);
+  // Wait until the last results have been sent to their entries.
   waitUntil(FlushTime, [this] { return this->Node.links().isIdle(); });
   this->stop();
 }
--- a/main/lease_entry_process.cpp
+++ b/main/lease_entry_process.cpp
@@ -12,21 +12,22 @@
 
 namespace {
 
-/// Kept of the shutdown grace for the answers' way out.
+/// Part of the shutdown grace reserved for sending the last responses.
 constexpr std::chrono::milliseconds FlushTime{300};
-/// The longest that a job taken during shutdown may still need; the rest of
-/// the grace goes by while new jobs are refused.
+/// Maximum time that a job accepted during shutdown may still take. New jobs
+/// are refused in this part of the shutdown grace.
 constexpr std::chrono::milliseconds MaxJobTime{1700};
 
-/// Of the time for the longest job, kept for the answers to jobs that have not
-/// ended by then.
+/// Part of MaxJobTime reserved for answering jobs that have not completed by
+/// then.
 constexpr std::chrono::milliseconds CancelTime{150};
 
-/// For a caller on a link that loses packets to send a request whole.
+/// Time for a caller on a lossy link to send a complete request.
 constexpr std::chrono::milliseconds CallerTimeout{10000};
 
-/// Far above the placements that an entry makes in a microsecond, the unit of
-/// incarnations, so that no two lives give one number twice.
+/// Upper bound on placements per microsecond, the unit of incarnations. It is
+/// far above the real rate, so that no two incarnations use the same order
+/// number.
 constexpr std::uint64_t MaxOrdersPerMicrosecond = 1000;
 
 class LeaseEntryProcess final : public Process, AnnouncerEvents {
@@ -60,14 +61,16 @@
   SystemClock Source;
   NodeCatalog Catalog;
   std::atomic<bool> Draining{false};
-  /// As the balancer was last told; the loop's.
+  /// Computes readiness; used on the loop's thread only.
   Readiness ReadinessRule;
+  /// Readiness last reported to the load balancer; used on the loop's thread
+  /// only.
   bool Ready = false;
   std::atomic<std::size_t> InFlight{0};
   LinkNode Node;
   SelfLoad Load{SelfLoadOptions()};
   TableLease Table;
-  /// As it was last logged; the loop's.
+  /// State last logged; used on the loop's thread only.
   TableState LoggedTable = TableState::Unknown;
   std::shared_ptr<platform::EntryGate> Gate;
   std::shared_ptr<platform::HealthGate> Health;
@@ -220,8 +223,9 @@
   this->Draining.store(true);
   this->Health->setReady(false);
   auto Serve = this->Plan.Times.ShutdownGrace - MaxJobTime - FlushTime;
-  // Callers use open connections on, so jobs are taken for a while. Where all
-  // have gone elsewhere, the sooner this process is back the better.
+  // Callers keep using open connections, so jobs are accepted for a while. Once
+  // all callers have moved elsewhere, the drain ends early so that this process
+  // can restart sooner.
   DrainOptions Options;
   Options.MaxDrain = Serve;
   DrainWatch Watch(Options, this->Source.now().Steady);
@@ -230,21 +234,23 @@
                         this->Source.now().Steady);
   });
   this->Gate->refuseNew();
-  // A request read just before may still be on its way to a loop that is held
-  // up, so that no job in flight is no proof; each request read is counted.
+  // A request read just before may still be queued for a delayed loop, so a
+  // count of zero jobs in flight does not show that all requests are answered.
+  // The server counts each request that it reads.
   auto AllAnswered = [this] {
     return this->CallerServer.answers().unanswered() == 0;
   };
   if (!waitUntil(MaxJobTime - CancelTime, AllAnswered)) {
     this->Log.warning("Entry {} stops with {} jobs in flight.", this->Plan.Node,
                       this->InFlight.load());
-    // Their callers learn that the end is not known, instead of being cut off.
+    // Callers are told that the outcome is unknown instead of losing their
+    // connections without a response.
     this->Node.loop().post([this](Instant Now) {
       this->Coordinator.cancelAll("this process ends", Now);
     });
     waitUntil(CancelTime, AllAnswered);
   }
-  // Answers handed to the server still have to reach their sockets.
+  // The server needs time to write the last responses to their sockets.
   std::this_thread::sleep_for(FlushTime / 2);
   this->stop();
 }
--- a/main/lease_wiring.h
+++ b/main/lease_wiring.h
@@ -1,4 +1,4 @@
-//===- main/lease_wiring.h - Wiring of roles in a planned node --*- C++ -*-===//
+//===- main/lease_wiring.h - Wiring of roles on the platform --*- C++ -*-===//
 #ifndef YARDWHEEL_MAIN_LEASE_WIRING_H
 #define YARDWHEEL_MAIN_LEASE_WIRING_H
 
@@ -10,27 +10,29 @@
 
 namespace yardwheel {
 
-/// All processes of a deployment belong to one cluster; two deployments never
-/// share a network.
+/// The cluster name of every process of a deployment. One name suffices because
+/// two deployments never share a network.
 constexpr const char *DeployedCluster = "yardwheel";
 
-/// How often decision code is told of the time: each call wakes the process,
-/// which a small share of a core feels, and no time-out here is shorter than
-/// some of these.
+/// Interval between ticks of the decision code. Each tick wakes the process,
+/// which costs noticeable time on a small share of a core; every timeout here
+/// lasts several ticks.
 constexpr std::chrono::milliseconds LeaseTick{20};
 
-/// Between heartbeats to control: several within the time in which a change
-/// of configuration has to be in force.
+/// Interval between heartbeats to control. Several fit into the time within
+/// which a configuration change must be in force.
 constexpr std::chrono::milliseconds ControlHeartbeat{500};
 
-/// Kept of the time in which a change has to be in force, for what follows the
-/// look at the table's age until a request is taken (well below a millisecond,
-/// unless the thread is held up) and for the drift of clocks. The rest lasts
-/// for two lost heartbeats and an answer that takes 200 ms.
+/// Subtracted from the time within which a configuration change must be in
+/// force. It covers clock drift and the time between the check of the table's
+/// age and the acceptance of a request (well below a millisecond unless the
+/// thread is delayed). The remaining time covers two lost heartbeats and a
+/// reply that takes 200 ms.
 constexpr std::chrono::milliseconds TableAgeMargin{250};
 
-/// The age up to which an entry takes its route table for the newest. Not below
-/// what heartbeats can keep up, else a healthy entry would refuse.
+/// Returns the options of an entry's route table lease. The maximum age is
+/// never below what heartbeats can sustain, because a healthy entry would then
+/// refuse requests.
 inline TableLeaseOptions planTableLease(const NodePlan &Plan) {
   TableLeaseOptions Options;
   Options.MaxAge = std::max(Plan.Times.ChangeInForce - TableAgeMargin,
@@ -38,18 +40,18 @@
   return Options;
 }
 
-/// Between an entry's renewals of its lease at an agent. Less than half of the
-/// agents' lease, so that one lost message ends none.
+/// Interval between an entry's renewals of its lease at an agent. It is less
+/// than half of the agents' lease, so that one lost message ends no lease.
 constexpr std::chrono::milliseconds CoordinatorRenewal{300};
 
-/// Between two texts of a process's metrics; the platform reads them less
-/// often.
+/// Interval between updates of a process's metrics page; the platform reads it
+/// less often.
 constexpr std::chrono::milliseconds MetricsInterval{2000};
 
-/// What each role's metrics end with.
+/// Returns the metric lines common to all roles, which end each metrics page.
 std::string describeProcess(LinkNode &Node, const HttpServer &Server);
 
-/// Large enough for any configuration or job on the wire.
+/// Maximum size of a request body in bytes; any configuration or job fits.
 constexpr std::size_t MaxBodyBytes = 1048576;
 
 inline LinkIdentity planIdentity(const NodePlan &Plan, peer::Role Role,
@@ -57,7 +59,8 @@
   return {DeployedCluster, Role, Plan.Node, Plan.LinkListen, Incarnation};
 }
 
-/// Seeds by address: a replica's name is not known before it is heard.
+/// Returns the seeds by address only: a replica's name is unknown until it
+/// sends a message.
 inline std::vector<PeerRef> seedPeers(const NodePlan &Plan) {
   std::vector<PeerRef> Peers;
   for (const ControlPeer &Seed : Plan.Seeds)
@@ -65,8 +68,8 @@
   return Peers;
 }
 
-/// Reads the settings again and hands \p Take, on the loop, the control
-/// replicas that they name.
+/// Reads the settings again and calls \p Take on the loop's thread with the
+/// control replicas that they name. Invalid settings are logged and ignored.
 void reloadSeeds(
     EventLoop &Loop, const Logger &Log,
     const std::function<void(const std::vector<PeerRef> &Seeds)> &Take);
@@ -75,9 +78,11 @@
   return {seedPeers(Plan), ControlHeartbeat};
 }
 
-/// An entry looks for another leader at once, as its callers wait for it: with
-/// six replicas it has asked all 0.6 s after a question that stays unanswered,
-/// and knows 0.6 s later that none can be reached, within its table's age.
+/// How long an entry waits for a heartbeat reply before it asks other replicas,
+/// and the interval between those requests. Both are short because callers
+/// wait: with six replicas, all have been asked 0.6 s after an unanswered
+/// request, and 0.6 s later the entry knows that none is reachable, within the
+/// maximum age of its table.
 constexpr std::chrono::milliseconds EntrySearchDelay{250};
 constexpr std::chrono::milliseconds EntrySearchInterval{60};
 
--- a/main/process.h
+++ b/main/process.h
@@ -13,10 +13,11 @@
 class Process {
 public:
   virtual ~Process() = default;
-  /// Takes no new work, lets what is under way end, and returns.
+  /// Stops accepting work, waits for work in progress, stops the role and
+  /// returns.
   virtual void drain() = 0;
-  /// The settings have changed; takes over what may change in a running
-  /// process.
+  /// Reads the changed settings again and applies those that may change in a
+  /// running process.
   virtual void reload() {}
 };
 
@@ -25,8 +26,8 @@
 std::unique_ptr<Process> startAgent(const Settings &Values);
 std::unique_ptr<Process> startControl(const Settings &Values);
 
-/// The same roles where the platform writes the settings and workers run
-/// tasks under leases.
+/// Starts the same roles on the platform, which writes the settings; workers
+/// run tasks under leases there. \throws Error if the role cannot be started.
 std::unique_ptr<Process> startLeaseEntry(const NodePlan &Plan);
 std::unique_ptr<Process> startLeaseAgent(const NodePlan &Plan);
 std::unique_ptr<Process> startSeededControl(const NodePlan &Plan);
--- a/main/seeded_control_process.cpp
+++ b/main/seeded_control_process.cpp
@@ -17,12 +17,12 @@
 
 constexpr std::chrono::milliseconds ElectionTimeout{500};
 constexpr std::chrono::milliseconds MemberLease{3000};
-/// Below the time that an operator gives a call with a large body.
+/// Shorter than the operators' timeout for a call with a large body.
 constexpr std::chrono::milliseconds ProposalTimeout{2000};
 constexpr std::uint64_t EntriesPerSnapshot = 200;
 
-/// How this replica is known; it owns its address but not its name, which
-/// ends with its disk.
+/// Returns this replica's entry in the replica set. The address is permanent;
+/// the name is stored on the disk and lost with it.
 peer::Replica selfOf(const NodePlan &Plan, const std::string &Name) {
   peer::Replica Self;
   Self.set_name(Name);
@@ -38,9 +38,10 @@
   return false;
 }
 
-/// The identity of a replica whose folder is empty. At the first start of all,
-/// every seed makes the same first set of replicas, of which a majority must
-/// agree; whoever else comes with an empty folder joins under a new name.
+/// Creates the identity of a replica whose data folder is empty. When the
+/// cluster is bootstrapped, every seed creates the same initial replica set, of
+/// which a majority must agree. Any other replica with an empty folder joins
+/// under a new name.
 peer::Identity newIdentity(const NodePlan &Plan, std::uint64_t Incarnation) {
   peer::Identity Identity;
   Identity.set_cluster(DeployedCluster);
@@ -139,7 +140,7 @@
   Options.Raft.ElectionTimeout = ElectionTimeout;
   Options.Raft.EntriesPerSnapshot = EntriesPerSnapshot;
   Options.Raft.Seed = this->Incarnation;
-  // Best-effort jobs are claimed nowhere.
+  // Best-effort jobs need no claims, hence no holder groups.
   Options.Groups.Groups = 0;
   Options.Lease = MemberLease;
   Options.ProposalTimeout = ProposalTimeout;
--- a/main/wiring.h
+++ b/main/wiring.h
@@ -1,4 +1,4 @@
-//===- main/wiring.h - What the roles are wired with ------------*- C++ -*-===//
+//===- main/wiring.h - Wiring shared by the roles ---------------*- C++ -*-===//
 #ifndef YARDWHEEL_MAIN_WIRING_H
 #define YARDWHEEL_MAIN_WIRING_H
 
@@ -13,10 +13,11 @@
 
 namespace yardwheel {
 
-/// How often decision code is told of the time.
+/// Interval between ticks of the decision code.
 constexpr std::chrono::milliseconds TickInterval{5};
 
-/// A number that is greater in every later life of a process.
+/// Returns an incarnation number that is greater after every restart of a
+/// process: the wall time in microseconds.
 inline std::uint64_t newIncarnation() {
   return static_cast<std::uint64_t>(
       std::chrono::duration_cast<std::chrono::microseconds>(
@@ -37,7 +38,7 @@
   return Options;
 }
 
-/// What every member says of itself.
+/// Returns the member table fields that all roles announce.
 inline peer::Member memberOf(const Settings &Values, peer::Role Role,
                              std::uint64_t Incarnation) {
   peer::Member Self;
@@ -51,7 +52,8 @@
   return Self;
 }
 
-/// Hands an envelope's messages to the announcer or to the role's core.
+/// Passes heartbeat replies to the announcer and all other messages of an
+/// envelope to the role's core.
 template <typename Core>
 void deliver(const peer::Envelope &Envelope, Announcer &Announce, Core &Target,
              Instant Now) {
@@ -66,7 +68,8 @@
   }
 }
 
-/// Waits until \p Done says so, for at most \p Limit.
+/// Polls until \p Done returns true, for at most \p Limit.
+/// \returns the last result of \p Done.
 inline bool waitUntil(std::chrono::milliseconds Limit,
                       const std::function<bool()> &Done) {
   constexpr std::chrono::milliseconds Pause{10};
--- a/main/yardwheeld.cpp
+++ b/main/yardwheeld.cpp
@@ -87,17 +87,19 @@
   return Signals;
 }
 
-/// Between two looks at the settings file, which may change without a signal.
+/// Interval between checks of the settings file, which may change without a
+/// signal.
 constexpr timespec SettingsPollInterval{1, 0};
 
-/// Waits for a signal, for at most a while. \returns its number, or 0.
+/// Waits for a signal, for at most SettingsPollInterval.
+/// \returns the signal number, or 0 after a timeout.
 int waitForSignal(const sigset_t &Signals) {
   int Signal = sigtimedwait(&Signals, nullptr, &SettingsPollInterval);
   return std::max(Signal, 0);
 }
 
-/// Runs a role until a signal asks for its end. \param Settings Watched for
-/// changes without a signal, if there is one.
+/// Runs a role until a signal requests shutdown.
+/// \param Settings File watched for changes without a signal, or null.
 int runUntilSignalled(const std::function<std::unique_ptr<Process>()> &Start,
                       FileWatch *Settings) {
   Logger Log("daemon");
@@ -141,14 +143,16 @@
 } // namespace
 
 int main(int Count, char **Arguments) {
-  // gRPC's locks come from a library that searches them for cycles, unless told
-  // not to: 6.6 % of an entry's processor time at 32 jobs/s (two runs each).
+  // Abseil, which provides gRPC's locks, checks them for deadlock cycles by
+  // default. That took 6.6 % of an entry's processor time at 32 jobs/s (two
+  // runs each).
   absl::SetMutexDeadlockDetectionMode(absl::OnDeadlockCycle::kIgnore);
   gflags::SetUsageMessage("yardwheeld --settings FILE [--init | --join]\n"
                           "yardwheeld --platform");
   gflags::ParseCommandLineFlags(&Count, &Arguments, true);
   try {
-    // Without a clock that counts suspensions no lease here could be trusted.
+    // Fail at startup if no clock counts time in suspension: leases would not
+    // be reliable without one.
     BootClock::now();
     if (FLAGS_platform)
       return runPlanned();
--- a/tests/system/tool_test.cpp
+++ b/tests/system/tool_test.cpp
@@ -101,7 +101,7 @@
   std::string Leader = Cluster.leader();
   std::string Lost = Leader == "c1" ? "c2" : "c1";
   Cluster.killNode(Lost);
-  // The new replica takes the lost one's addresses under a name of its own.
+  // The new replica uses the lost replica's addresses under a new name.
   std::ifstream Old(Cluster.settingsOf(Lost));
   std::string Text((std::istreambuf_iterator<char>(Old)),
                    std::istreambuf_iterator<char>());
@@ -132,7 +132,7 @@
   CHECK_TRUE(waitFor([&] {
     return Cluster.ctl({"replica", "remove", Lost}).Code == 0;
   }));
-  // A second host is lost right after the repair.
+  // A second host fails right after the replacement.
   Cluster.killNode(Cluster.leader());
   ProgramEnd Set =
       Cluster.ctl({"workspace", "set", "bids", "--set", "weight=77"});
--- a/tool/api_client.cpp
+++ b/tool/api_client.cpp
@@ -52,7 +52,7 @@
       if (Final)
         return Last;
     }
-    // An election or a restart may be under way.
+    // An election or a restart may be in progress.
     if (Round + 1 < MaxRounds)
       std::this_thread::sleep_for(RoundPause);
   }
--- a/tool/api_client.h
+++ b/tool/api_client.h
@@ -1,9 +1,9 @@
-//===- tool/api_client.h - Calls on control and entries ---------*- C++ -*-===//
+//===- tool/api_client.h - HTTP calls to control, entries -------*- C++ -*-===//
 ///
 /// \file
-/// Sends a request to the first replica or entry that gives a final answer.
-/// Only what may safely be sent twice is: reads, changes with an id, and
-/// submissions with an id.
+/// Sends a request to replicas or entries in turn until one gives a final
+/// response. Requests may be sent more than once, so all of them are
+/// idempotent: reads, and changes and submissions with an id.
 ///
 //===----------------------------------------------------------------------===//
 #ifndef YARDWHEEL_TOOL_API_CLIENT_H
@@ -41,8 +41,9 @@
 
   const ToolOptions &options() const { return this->Options; }
 
-  /// Prints the answer as JSON, if that is asked for or if it is no success,
-  /// else reads it into \p Document. \returns the exit code so far.
+  /// Prints the response if JSON output is requested or the status is an error;
+  /// otherwise parses it into \p Document.
+  /// \returns the exit code for the response.
   ExitCode take(const HttpResult &Answer,
                 google::protobuf::Message &Document) const;
 
@@ -55,7 +56,7 @@
   HttpClient Client;
 };
 
-/// The exit code that a status stands for.
+/// Returns the exit code for an HTTP status.
 ExitCode exitCodeFor(long Status);
 
 } // namespace yardwheel
--- a/tool/command_line.h
+++ b/tool/command_line.h
@@ -2,8 +2,9 @@
 ///
 /// \file
 /// gflags reads the options that all commands share (--control, --entry,
-/// --json, --timeout); what is left are the command's words and its own
-/// options, which this reads. gflags knows no options of one command only.
+/// --json, --timeout). The remaining arguments are the command's words and its
+/// own options, which are parsed here because gflags does not support options
+/// of a single command.
 ///
 //===----------------------------------------------------------------------===//
 #ifndef YARDWHEEL_TOOL_COMMAND_LINE_H
@@ -22,7 +23,7 @@
   Unavailable = 1,
   /// The command line, a file or a value is wrong.
   Usage = 2,
-  /// Somebody else's change came first.
+  /// A concurrent change by another operator was applied first.
   Conflict = 3,
   NotFound = 4,
   /// The job ended with a declared failure.
@@ -42,7 +43,7 @@
                   const std::string &Default = "") const;
 };
 
-/// Splits "--name value" and "--name=value" from the words.
+/// Separates the options "--name value" and "--name=value" from the words.
 /// \throws Error if an option is not one of \p Known or has no value.
 CommandLine readCommandLine(const std::vector<std::string> &Arguments,
                             const std::vector<std::string> &Known);
--- a/tool/commands.h
+++ b/tool/commands.h
@@ -12,7 +12,7 @@
 
 using Arguments = std::vector<std::string>;
 
-/// One command: the words that name it, its help and what it does.
+/// A command: the words that name it, its help and its function.
 struct Command {
   std::vector<std::string> Name;
   std::string Usage;
@@ -39,19 +39,19 @@
 ExitCode stopPolicies(ApiClient &Client, const Arguments &Rest);
 ExitCode comparePolicies(ApiClient &Client, const Arguments &Rest);
 
-/// Reads a command's words, of which there must be \p Count.
-/// \throws Error that shows what was expected.
+/// Parses a command's arguments, which must have \p Count words.
+/// \throws Error with the \p Expected usage if the count differs.
 CommandLine expectWords(const Arguments &Rest, std::size_t Count,
                         const std::vector<std::string> &Options,
                         const std::string &Expected);
 
-/// A fresh id, so that a change sent again is applied once.
+/// Returns a new unique id, so that a change sent again is applied once.
 std::string newId();
 
 /// Reads a whole file, or standard input for "-".
 std::string readFile(const std::string &Path);
 
-/// Prints what became of a change.
+/// Prints the result of a change.
 ExitCode printChange(ApiClient &Client, const HttpResult &Answer);
 
 } // namespace yardwheel
--- a/tool/comparison.cpp
+++ b/tool/comparison.cpp
@@ -8,9 +8,10 @@
 
 namespace {
 
-/// Standard deviations of a 95 % interval.
+/// Half-width of a 95 % confidence interval in standard deviations.
 constexpr double StandardDeviations = 1.96;
-/// Fewer completed jobs beyond a quantile say nothing about it.
+/// Minimum number of completed jobs beyond a quantile for a meaningful
+/// estimate.
 constexpr double MinJobsBeyond = 5;
 
 double edgeAtRank(const std::map<double, std::uint64_t> &Buckets, double Rank) {
--- a/tool/comparison.h
+++ b/tool/comparison.h
@@ -1,9 +1,9 @@
-//===- tool/comparison.h - Whether two policies differ ----------*- C++ -*-===//
+//===- tool/comparison.h - Comparison of policies ---------------*- C++ -*-===//
 ///
 /// \file
-/// Merges what the entries report of an experiment and compares the policies:
-/// quantiles of slowdown with 95 % confidence intervals by order statistics,
-/// and a verdict that says "differs" only where the intervals are apart.
+/// Merges the entries' reports of an experiment and compares the policies by
+/// quantiles of slowdown with 95 % confidence intervals from order statistics.
+/// The verdict names a lower policy only if the intervals are disjoint.
 ///
 //===----------------------------------------------------------------------===//
 #ifndef YARDWHEEL_TOOL_COMPARISON_H
@@ -18,7 +18,7 @@
 
 namespace yardwheel {
 
-/// A quantile as the upper edge of its bucket, and its interval.
+/// A quantile, as the upper edge of its bucket, and its confidence interval.
 struct QuantileEstimate {
   double Value = 0;
   double Low = 0;
@@ -31,7 +31,7 @@
   std::uint64_t Tasks = 0;
   std::uint64_t Wasted = 0;
   std::map<std::string, std::uint64_t> Failures;
-  /// Completed jobs by the upper edge of their slowdown's bucket.
+  /// Number of completed jobs by the upper edge of their slowdown bucket.
   std::map<double, std::uint64_t> Slowdown;
 
   std::uint64_t completed() const;
@@ -42,7 +42,8 @@
 std::vector<ArmSummary>
 mergeReports(const std::vector<api::WorkspaceReport> &Reports);
 
-/// "A is lower", "B is lower" or "no more than noise", with names.
+/// Returns "A is lower" or "B is lower" with the policy's name, "no more than
+/// noise", or "too few jobs to tell".
 std::string verdict(const ArmSummary &A, const ArmSummary &B, double Share);
 
 } // namespace yardwheel
--- a/tool/job_commands.cpp
+++ b/tool/job_commands.cpp
@@ -18,7 +18,9 @@
   return fmt::format("/v1/workspaces/{}/jobs/{}", Line.Words[0], Line.Words[1]);
 }
 
-/// Prints a job's answer; a declared failure is an answer, not an accident.
+/// Prints a job's response. A declared job failure is a valid response.
+/// \returns the exit code, JobFailed for a declared failure unless its status
+/// has a more precise one.
 ExitCode printAnswer(ApiClient &Client, const HttpResult &Answer) {
   if (Answer.Status == 0) {
     fmt::print(stderr, "yardwheelctl: no answer: {}\n", Answer.Problem);
@@ -51,7 +53,7 @@
   return Precise ? Code : ExitCode::JobFailed;
 }
 
-/// Asks for a job's answer until it is final.
+/// Polls for a job's response until it is final.
 HttpResult pollUntilFinal(ApiClient &Client, const std::string &Workspace,
                           HttpResult Answer) {
   constexpr std::chrono::milliseconds Pause{200};
@@ -77,7 +79,7 @@
     fmt::print(stderr, "{}: {}\n", Line.Words[1], Wrong);
     return ExitCode::Usage;
   }
-  // With an id of its own, the submission may be sent to another entry.
+  // An id makes it safe to resend the submission to another entry.
   if (Document.id().empty())
     Document.set_id(Line.get("id", newId()));
   std::string Path = fmt::format("/v1/workspaces/{}/jobs", Line.Words[0]);
--- a/tool/policy_commands.cpp
+++ b/tool/policy_commands.cpp
@@ -23,7 +23,7 @@
   return printChange(Client, Client.control("PUT", Path, toJson(Document)));
 }
 
-/// Reads POLICY=SHARE.
+/// Parses POLICY=SHARE, with the share in percent, and adds it to \p Document.
 void addArm(const std::string &Word, api::ExperimentChange &Document) {
   std::size_t Equals = Word.find('=');
   std::string Share =
@@ -38,7 +38,8 @@
   Arm->set_share(static_cast<std::uint32_t>(std::stoul(Share)));
 }
 
-/// Addresses of the live entries, from control.
+/// Returns the addresses given on the command line, or else those of the live
+/// entries that control lists.
 std::vector<std::string> entryAddresses(ApiClient &Client) {
   if (!Client.options().Entries.empty())
     return Client.options().Entries;
--- a/tool/settings_commands.cpp
+++ b/tool/settings_commands.cpp
@@ -1,4 +1,5 @@
-//===- Commands that need no cluster --------------------------------------===//
+//===- Commands that work offline ---
+//--------------------------------------===//
 
 #include "catalog/parameters.h"
 #include "settings/settings_parser.h"
--- a/tool/table_printer.h
+++ b/tool/table_printer.h
@@ -1,4 +1,4 @@
-//===- tool/table_printer.h - Plain tables ----------------------*- C++ -*-===//
+//===- tool/table_printer.h - Plain-text tables -----------------*- C++ -*-===//
 #ifndef YARDWHEEL_TOOL_TABLE_PRINTER_H
 #define YARDWHEEL_TOOL_TABLE_PRINTER_H
 
@@ -7,10 +7,10 @@
 
 namespace yardwheel {
 
-/// Rows of cells; the first row is the head.
+/// Rows of cells; the first row is the header.
 using TableRows = std::vector<std::vector<std::string>>;
 
-/// Lays rows out in columns of equal width, two spaces apart.
+/// Formats rows as aligned columns, two spaces apart.
 std::string formatTable(const TableRows &Rows);
 
 } // namespace yardwheel
--- a/tool/workspace_commands.cpp
+++ b/tool/workspace_commands.cpp
@@ -17,7 +17,7 @@
   return fmt::format("/v1/{}/{}", Kind, Name);
 }
 
-/// Adds what `--set KEY=VALUE` gives.
+/// Adds the parameters given by `--set KEY=VALUE`.
 template <typename Document>
 void addParameters(const CommandLine &Line, Document &Target) {
   auto Given = Line.Options.find("set");
--- a/tool/yardwheelctl.cpp
+++ b/tool/yardwheelctl.cpp
@@ -110,7 +110,8 @@
   return false;
 }
 
-/// Hands gflags only the options that all commands share.
+/// Passes the options that all commands share to gflags.
+/// \returns the other arguments.
 Arguments readShared(const Arguments &Given) {
   std::vector<std::string> Shared = {"yardwheelctl"};
   Arguments Rest;
