--- a/tests/http/closed_window_test.cpp
+++ b/tests/http/closed_window_test.cpp
@@ -46,7 +46,7 @@
 
   bool waitForHold() {
     std::unique_lock Lock(this->Mutex);
-    return this->Changed.wait_for(Lock, CallerPatience,
+    return this->Changed.wait_for(Lock, CallerReadTimeout,
                                   [this] { return this->Holds; });
   }
   bool hasHandledLate() const { return this->HandledLate.load(); }
--- a/tests/http/http_limits_test.cpp
+++ b/tests/http/http_limits_test.cpp
@@ -89,7 +89,7 @@
     return New;
   }
   bool waitFor(const std::function<bool()> &Holds) {
-    for (milliseconds Waited{0}; Waited < CallerPatience; Waited += Quiet) {
+    for (milliseconds Waited{0}; Waited < CallerReadTimeout; Waited += Quiet) {
       if (Holds())
         return true;
       std::this_thread::sleep_for(Quiet);
--- a/tests/http/http_server_test.cpp
+++ b/tests/http/http_server_test.cpp
@@ -36,7 +36,7 @@
 
 namespace {
 
-constexpr milliseconds Patience = CallerPatience;
+constexpr milliseconds Patience = CallerReadTimeout;
 
 /// Keeps replies for the test to send, and holds the server's thread on
 /// requests below /hold until it is let go.
--- a/tests/http/request_age_test.cpp
+++ b/tests/http/request_age_test.cpp
@@ -33,7 +33,7 @@
     this->Ages[Request.Resource] = Reply->age();
     this->Changed.notify_all();
     if (Request.Resource == "/hold") {
-      this->Changed.wait_for(Lock, CallerPatience,
+      this->Changed.wait_for(Lock, CallerReadTimeout,
                              [this] { return this->Released; });
       this->Ages["/held"] = Reply->age();
       this->Changed.notify_all();
@@ -48,7 +48,7 @@
   /// Once the request has been read.
   std::optional<RequestAge> age(const std::string &Path) {
     std::unique_lock Lock(this->Mutex);
-    this->Changed.wait_for(Lock, CallerPatience,
+    this->Changed.wait_for(Lock, CallerReadTimeout,
                            [&] { return this->Ages.contains(Path); });
     return this->Ages[Path];
   }
--- a/tests/platform/late_request_test.cpp
+++ b/tests/platform/late_request_test.cpp
@@ -43,7 +43,7 @@
       return;
     }
     this->Held.set_value();
-    this->Released.get_future().wait_for(CallerPatience);
+    this->Released.get_future().wait_for(CallerReadTimeout);
     Reply->send({.Body = "{}"});
   }
   void onDisconnect(std::uint64_t Connection) override {
--- a/tests/support/http_caller.cpp
+++ b/tests/support/http_caller.cpp
@@ -5,7 +5,7 @@
 #include <poll.h>
 #include <sys/socket.h>
 
-// Last: it redefines new.
+// Included last because it redefines new.
 #include <CppUTest/TestHarness.h>
 
 namespace yardwheel {
@@ -33,19 +33,19 @@
 }
 
 Caller::Caller(std::uint16_t Port)
-    : Line(::socket(AF_INET, SOCK_STREAM, 0)), Port(Port) {}
+    : Socket(::socket(AF_INET, SOCK_STREAM, 0)), Port(Port) {}
 
 void Caller::connect() {
   sockaddr_in Address = loopback(this->Port);
   int Result =
-      ::connect(this->Line.number(), reinterpret_cast<sockaddr *>(&Address),
+      ::connect(this->Socket.number(), reinterpret_cast<sockaddr *>(&Address),
                 sizeof Address);
   CHECK_EQUAL(0, Result);
 }
 
 bool Caller::send(const std::string &Text) {
   ssize_t Sent =
-      ::send(this->Line.number(), Text.data(), Text.size(), MSG_NOSIGNAL);
+      ::send(this->Socket.number(), Text.data(), Text.size(), MSG_NOSIGNAL);
   return Sent == static_cast<ssize_t>(Text.size());
 }
 
@@ -53,9 +53,9 @@
   constexpr std::size_t Part = 65536;
   constexpr std::chrono::milliseconds Still{200};
   const std::string Text(Part, 'x');
-  pollfd Watched{this->Line.number(), POLLOUT, 0};
+  pollfd Watched{this->Socket.number(), POLLOUT, 0};
   while (::poll(&Watched, 1, static_cast<int>(Still.count())) > 0) {
-    ssize_t Count = ::send(this->Line.number(), Text.data(), Text.size(),
+    ssize_t Count = ::send(this->Socket.number(), Text.data(), Text.size(),
                            MSG_DONTWAIT | MSG_NOSIGNAL);
     if (Count < 0 && errno != EAGAIN && errno != EWOULDBLOCK)
       return;
@@ -67,22 +67,23 @@
              " HTTP/1.1\r\nHost: test\r\nConnection: keep-alive\r\n\r\n");
 }
 
-void Caller::finishSending() { ::shutdown(this->Line.number(), SHUT_WR); }
+void Caller::finishSending() { ::shutdown(this->Socket.number(), SHUT_WR); }
 
 void Caller::reset() {
   linger Hard{1, 0};
-  ::setsockopt(this->Line.number(), SOL_SOCKET, SO_LINGER, &Hard, sizeof Hard);
-  this->Line.close();
+  ::setsockopt(this->Socket.number(), SOL_SOCKET, SO_LINGER, &Hard,
+               sizeof Hard);
+  this->Socket.close();
 }
 
 std::string Caller::read(std::size_t Length, std::chrono::milliseconds Wait) {
   std::string Text;
-  pollfd Watched{this->Line.number(), POLLIN, 0};
+  pollfd Watched{this->Socket.number(), POLLIN, 0};
   constexpr std::size_t Chunk = 65536;
   std::string Buffer(Chunk, '\0');
   while (Text.size() < Length &&
          ::poll(&Watched, 1, static_cast<int>(Wait.count())) > 0) {
-    ssize_t Count = ::recv(this->Line.number(), Buffer.data(), Chunk, 0);
+    ssize_t Count = ::recv(this->Socket.number(), Buffer.data(), Chunk, 0);
     if (Count <= 0)
       break;
     Text.append(Buffer, 0, static_cast<std::size_t>(Count));
@@ -91,15 +92,15 @@
 }
 
 bool Caller::seesEnd(std::chrono::milliseconds Wait) {
-  pollfd Watched{this->Line.number(), POLLIN, 0};
+  pollfd Watched{this->Socket.number(), POLLIN, 0};
   char Next = 0;
   return ::poll(&Watched, 1, static_cast<int>(Wait.count())) > 0 &&
-         ::recv(this->Line.number(), &Next, sizeof Next, 0) <= 0;
+         ::recv(this->Socket.number(), &Next, sizeof Next, 0) <= 0;
 }
 
 bool Caller::isReset(std::chrono::milliseconds Wait) {
-  // Without events of its own: an orderly end of the other side is none here.
-  pollfd Watched{this->Line.number(), 0, 0};
+  // No events are requested, so an orderly close by the server is not reported.
+  pollfd Watched{this->Socket.number(), 0, 0};
   ::poll(&Watched, 1, static_cast<int>(Wait.count()));
   return (Watched.revents & (POLLERR | POLLHUP)) != 0;
 }
--- a/tests/support/http_caller.h
+++ b/tests/support/http_caller.h
@@ -1,8 +1,8 @@
-//===- tests/support/http_caller.h - A caller on a plain socket -*- C++ -*-===//
+//===- tests/support/http_caller.h - HTTP client on raw sockets -*- C++ -*-===//
 ///
 /// \file
-/// A caller of an HTTP server on loopback that sends whatever bytes a test
-/// wants, in whatever pieces, and sees what a connection really carries.
+/// A client of an HTTP server on loopback. It sends arbitrary bytes in
+/// arbitrary pieces and reads the raw bytes of the connection.
 ///
 //===----------------------------------------------------------------------===//
 #ifndef YARDWHEEL_TESTS_SUPPORT_HTTP_CALLER_H
@@ -17,10 +17,10 @@
 
 namespace yardwheel {
 
-/// For how long a caller waits for what has to come.
-constexpr std::chrono::milliseconds CallerPatience{5000};
+/// Default time that a caller waits for data or the end of a connection.
+constexpr std::chrono::milliseconds CallerReadTimeout{5000};
 
-/// A descriptor that the test owns.
+/// Owns a file descriptor and closes it.
 class Descriptor {
 public:
   explicit Descriptor(int Number) : Number(Number) {}
@@ -40,39 +40,41 @@
   int Number;
 };
 
-/// A port of loopback on which nobody listens now.
+/// Returns a loopback port on which nothing listens at present.
 std::uint16_t freeHttpPort();
 
-/// A caller's connection, whose descriptor exists before it connects.
+/// A caller's connection. The socket is created before it connects.
 class Caller {
 public:
   explicit Caller(std::uint16_t Port);
 
   void connect();
-  /// \returns whether all could be sent.
+  /// \returns whether all of \p Text was sent.
   bool send(const std::string &Text);
-  /// Sends until the server's window is closed and nothing more is taken.
+  /// Sends until the server's receive window is closed and no more data is
+  /// accepted.
   void fill();
-  /// Sends a GET that asks to keep the connection.
+  /// Sends a GET request with keep-alive.
   void ask(const std::string &Path);
-  void leave() { this->Line.close(); }
-  /// Closes the sending side only.
+  void leave() { this->Socket.close(); }
+  /// Closes the sending direction only.
   void finishSending();
-  /// Ends the connection without the usual farewell.
+  /// Aborts the connection with a TCP reset.
   void reset();
 
-  /// What comes until \p Length bytes, the end, or nothing for \p Wait.
+  /// Reads until \p Length bytes have arrived, the connection ends, or nothing
+  /// arrives for \p Wait.
   std::string read(std::size_t Length,
-                   std::chrono::milliseconds Wait = CallerPatience);
-  /// Whether the server ends the connection in time.
-  bool seesEnd(std::chrono::milliseconds Wait = CallerPatience);
-  /// Whether the server resets the connection in time.
-  bool isReset(std::chrono::milliseconds Wait = CallerPatience);
-  /// A whole answer: its head and as many bytes as that names.
+                   std::chrono::milliseconds Wait = CallerReadTimeout);
+  /// Returns whether the server closes the connection within \p Wait.
+  bool seesEnd(std::chrono::milliseconds Wait = CallerReadTimeout);
+  /// Returns whether the server resets the connection within \p Wait.
+  bool isReset(std::chrono::milliseconds Wait = CallerReadTimeout);
+  /// Reads a complete response: its header and a body of Content-Length bytes.
   std::string readAnswer();
 
 private:
-  Descriptor Line;
+  Descriptor Socket;
   std::uint16_t Port;
 };
 
--- a/tests/support/plain_waiter.h
+++ b/tests/support/plain_waiter.h
@@ -1,7 +1,7 @@
 //===- tests/support/plain_waiter.h - Waits for posted work -----*- C++ -*-===//
 ///
 /// \file
-/// A waiter for loops that read nothing themselves.
+/// A waiter for event loops that read no sockets and only run posted work.
 ///
 //===----------------------------------------------------------------------===//
 #ifndef YARDWHEEL_TESTS_SUPPORT_PLAIN_WAITER_H
--- a/tests/support/seeds.h
+++ b/tests/support/seeds.h
@@ -1,9 +1,9 @@
-//===- tests/support/seeds.h - How many random stories ----------*- C++ -*-===//
+//===- tests/support/seeds.h - Seeds of randomized tests --------*- C++ -*-===//
 ///
 /// \file
-/// The seeds that a test of random stories runs. More of them, outside CI:
-/// YARDWHEEL_SEEDS=5000. A failing one is replayed alone by
-/// YARDWHEEL_FIRST_SEED=N YARDWHEEL_SEEDS=N.
+/// The range of seeds that a randomized test runs. Set YARDWHEEL_SEEDS=5000 to
+/// run more of them outside CI, or YARDWHEEL_FIRST_SEED=N YARDWHEEL_SEEDS=N to
+/// replay a failing seed alone.
 ///
 //===----------------------------------------------------------------------===//
 #ifndef YARDWHEEL_TESTS_SUPPORT_SEEDS_H
--- a/tests/support/silent_proxy.cpp
+++ b/tests/support/silent_proxy.cpp
@@ -57,8 +57,8 @@
 }
 
 void SilentProxy::silence() {
-  this->SilenceAsked.store(true);
-  while (this->SilenceAsked.load())
+  this->SilenceRequested.store(true);
+  while (this->SilenceRequested.load())
     std::this_thread::sleep_for(std::chrono::milliseconds(PollMs));
 }
 
@@ -95,10 +95,10 @@
 
 void SilentProxy::run() {
   while (!this->Stopping.load()) {
-    if (this->SilenceAsked.load()) {
+    if (this->SilenceRequested.load()) {
       for (Pair &Open : this->Pairs)
         Open.Silent = true;
-      this->SilenceAsked.store(false);
+      this->SilenceRequested.store(false);
     }
     std::vector<pollfd> Sockets = {{this->Listener, POLLIN, 0}};
     for (const Pair &Open : this->Pairs) {
--- a/tests/support/silent_proxy.h
+++ b/tests/support/silent_proxy.h
@@ -1,8 +1,8 @@
 //===- tests/support/silent_proxy.h - Connections that go silent -*- C++ -*-=//
 ///
 /// \file
-/// A TCP proxy on loopback. On demand, the connections that are open go silent
-/// for good, both ways and without a reset, while new ones work.
+/// A TCP proxy on loopback. On request, all open connections permanently stop
+/// forwarding data in both directions without a reset; new connections work.
 ///
 //===----------------------------------------------------------------------===//
 #ifndef YARDWHEEL_TESTS_SUPPORT_SILENT_PROXY_H
@@ -17,16 +17,16 @@
 
 class SilentProxy {
 public:
-  /// Forwards from one address to the other, both "IP:PORT". Fails the test
-  /// that starts it, by an exception, if it cannot listen.
+  /// Forwards connections from \p Listen to \p Target, both "IP:PORT".
+  /// \throws std::runtime_error if it cannot listen.
   SilentProxy(const std::string &Listen, std::string Target);
   ~SilentProxy();
   SilentProxy(const SilentProxy &) = delete;
   SilentProxy &operator=(const SilentProxy &) = delete;
 
-  /// The connections open now carry nothing once this returns.
+  /// Silences all open connections; returns once this is in effect.
   void silence();
-  /// Connections accepted so far.
+  /// Returns the number of connections accepted so far.
   int accepted() const { return this->Accepted.load(); }
 
 private:
@@ -38,14 +38,15 @@
 
   void run();
   void accept();
-  /// \returns false once either end has closed.
+  /// Reads from \p From and forwards the data to \p To unless \p Silent.
+  /// \returns false once \p From has closed.
   static bool pump(int From, int To, bool Silent);
   static void close(const Pair &Open);
 
   std::string Target;
   int Listener = -1;
   std::vector<Pair> Pairs;
-  std::atomic<bool> SilenceAsked{false};
+  std::atomic<bool> SilenceRequested{false};
   std::atomic<bool> Stopping{false};
   std::atomic<int> Accepted{0};
   std::thread Thread;
--- a/tests/support/suspended_host.h
+++ b/tests/support/suspended_host.h
@@ -1,10 +1,9 @@
-//===- tests/support/suspended_host.h - A host that was suspended *- C++
-//-*-===//
+//===- tests/support/suspended_host.h - Suspended host ----------*- C++ -*-===//
 ///
 /// \file
-/// Lets this process see the clocks of a host that was suspended:
-/// CLOCK_BOOTTIME and the time of day have gone on, CLOCK_MONOTONIC has not.
-/// Takes the place of clock_gettime in the programs that are linked with it.
+/// Simulates the clocks of a host that was suspended: CLOCK_BOOTTIME and the
+/// time of day include the suspension, CLOCK_MONOTONIC does not. Replaces
+/// clock_gettime in the programs that are linked with it.
 ///
 //===----------------------------------------------------------------------===//
 #ifndef YARDWHEEL_TESTS_SUPPORT_SUSPENDED_HOST_H
@@ -14,10 +13,10 @@
 
 namespace yardwheel {
 
-/// The host was suspended for \p Time just now.
+/// Simulates a suspension of the host for \p Time.
 void suspendHost(std::chrono::milliseconds Time);
 
-/// From now on the host has no CLOCK_BOOTTIME, or has it again.
+/// Makes CLOCK_BOOTTIME unavailable, or available again.
 void removeBootClock(bool Removed);
 
 } // namespace yardwheel
--- a/tests/system/bad_input_test.cpp
+++ b/tests/system/bad_input_test.cpp
@@ -1,4 +1,4 @@
-//===- What callers may get wrong, against a running entry ----------------===//
+//===- Invalid requests to a running entry --------------------------------===//
 
 #include "core/job_id.h"
 #include "tests/system/system_cluster.h"
@@ -13,7 +13,8 @@
 
 namespace {
 
-/// Connects and sends raw bytes. \returns the socket.
+/// Connects to \p Address and sends raw bytes.
+/// \returns the socket.
 int sendRaw(const std::string &Address, const std::string &Bytes) {
   int Socket = ::socket(AF_INET, SOCK_STREAM, 0);
   sockaddr_in Target{};
@@ -27,7 +28,8 @@
   return Socket;
 }
 
-/// Reads until the other side closes, for at most twenty seconds.
+/// Reads until the server closes the connection, for at most 20 seconds.
+/// \returns the bytes read, or "left open" after a timeout.
 std::string readToEnd(int Socket) {
   timeval Limit{20, 0};
   ::setsockopt(Socket, SOL_SOCKET, SO_RCVTIMEO, &Limit, sizeof(Limit));
@@ -37,7 +39,7 @@
   while ((Count = ::recv(Socket, Buffer, sizeof(Buffer), 0)) > 0)
     Text.append(Buffer, static_cast<std::size_t>(Count));
   ::close(Socket);
-  // -1 is a time-out: the connection was left open.
+  // A count of -1 is a timeout: the connection is still open.
   return Count < 0 ? "left open" : Text;
 }
 
@@ -59,7 +61,7 @@
 
 TEST_GROUP(BadInputTest){};
 
-TEST(BadInputTest, EachMistakeIsNamedAndNothingRuns) {
+TEST(BadInputTest, InvalidJobsAreRejectedWithAReason) {
   SystemCluster Cluster({.Controls = 1, .Entries = 1});
   Cluster.start();
   std::size_t Before = Cluster.starts().size();
@@ -145,7 +147,7 @@
   LONGS_EQUAL(0, Cluster.doubleStarts());
 }
 
-TEST(BadInputTest, HalfRequestsAreClosedAndLeaversHarmNobody) {
+TEST(BadInputTest, IncompleteRequestsAreClosedAndDisconnectsHarmNoJob) {
   SystemCluster Cluster({.Controls = 1, .Entries = 1});
   Cluster.start();
   std::string Address = Cluster.httpOf("e1");
@@ -157,7 +159,7 @@
     Sockets.push_back(sendRaw(Address, Bytes));
   for (int Socket : Sockets)
     CHECK_TRUE(readToEnd(Socket) != "left open");
-  // Clients that leave in the middle of their jobs.
+  // Clients that disconnect while their jobs are running.
   const std::string Body = R"({"tasks":[{"payload":"sleep=300 x"}]})";
   for (int I = 0; I < 10; ++I) {
     int Socket = sendRaw(
@@ -170,9 +172,10 @@
   LONGS_EQUAL(0, Cluster.doubleStarts());
 }
 
-TEST(BadInputTest, AJobThatOutlastsTheWaitIsPendingAndAnsweredLater) {
-  // Found with real processes: the HTTP library answers 408 by itself to a
-  // connection whose answer takes longer than the header's time-out.
+TEST(BadInputTest, JobLongerThanTheWaitTimeoutIsPendingThenAnswered) {
+  // Guards against a response 408 that the HTTP library sends by itself if a
+  // response takes longer than the header timeout. It was found with real
+  // processes.
   SystemCluster Cluster({.Controls = 1, .Entries = 2});
   Cluster.start();
   std::string Id = idStamped(0);
--- a/tests/system/failure_test.cpp
+++ b/tests/system/failure_test.cpp
@@ -1,4 +1,4 @@
-//===- Real processes, really killed, frozen and stopped ------------------===//
+//===- Killed, frozen and stopped processes -------------------------------===//
 
 #include "core/job_id.h"
 #include "http/json.h"
@@ -34,7 +34,7 @@
   return Answer;
 }
 
-/// Submits in the background with a client of its own.
+/// Submits a job on a background thread with its own HTTP client.
 class BackgroundJob {
 public:
   BackgroundJob(const SystemCluster &Cluster, const std::string &Entry,
@@ -69,7 +69,7 @@
 
 TEST_GROUP(FailureTest){};
 
-TEST(FailureTest, TheOwnerKilledInMidJobIsSaidAsUnknownElsewhere) {
+TEST(FailureTest, JobOfAKilledEntryIsReportedAsUnknown) {
   SystemCluster Cluster(SystemOptions{});
   Cluster.start();
   std::string Id = newId();
@@ -91,7 +91,7 @@
   LONGS_EQUAL(0, Cluster.doubleStarts());
 }
 
-TEST(FailureTest, AnAgentKilledInMidTaskFailsItsJobsAndNoOthers) {
+TEST(FailureTest, KilledAgentFailsOnlyItsOwnJobs) {
   SystemCluster Cluster(SystemOptions{});
   Cluster.start();
   std::string Id = newId();
@@ -110,7 +110,7 @@
   LONGS_EQUAL(0, Cluster.doubleStarts());
 }
 
-TEST(FailureTest, AFrozenAgentIsLeftAndWakesWithoutHarm) {
+TEST(FailureTest, FrozenAgentIsAvoidedAndRecovers) {
   SystemCluster Cluster(SystemOptions{});
   Cluster.start();
   std::string Id = newId();
@@ -129,7 +129,7 @@
   LONGS_EQUAL(0, Cluster.doubleStarts());
 }
 
-TEST(FailureTest, EverythingRestartedAtOnceRunsNothingAgain) {
+TEST(FailureTest, FullRestartRunsNoTaskTwice) {
   SystemCluster Cluster({.Controls = 1, .Entries = 2});
   Cluster.start();
   std::string Id = newId();
@@ -147,7 +147,7 @@
   LONGS_EQUAL(0, Cluster.doubleStarts());
 }
 
-TEST(FailureTest, StoppingAnEntryOrAnAgentCutsNothing) {
+TEST(FailureTest, DrainingAnEntryOrAgentLosesNoJob) {
   for (const char *Node : {"e1", "a1"}) {
     SystemCluster Cluster(SystemOptions{});
     Cluster.start();
@@ -165,8 +165,8 @@
       return All;
     }));
     Cluster.signal(Node, SIGTERM);
-    // The balancer is told while requests are still in flight, and a new one
-    // is refused in words, not cut.
+    // The entry reports itself as not ready while requests are still in flight.
+    // It answers new requests with a refusal instead of closing the connection.
     if (Node[0] == 'e') {
       std::string Ready = fmt::format("http://{}/readyz", Cluster.httpOf(Node));
       CHECK_TRUE(
@@ -183,7 +183,7 @@
   }
 }
 
-TEST(FailureTest, StoppingAControlReplicaCutsNoChange) {
+TEST(FailureTest, DrainingAControlReplicaLosesNoChange) {
   SystemCluster Cluster(SystemOptions{});
   Cluster.start();
   std::string Leader = Cluster.leader();
@@ -192,8 +192,8 @@
   std::atomic<int> Failed{0};
   std::thread Operator([&] {
     while (!Stop.load()) {
-      ProgramEnd End = Cluster.ctl({"workspace", "set", "bids", "--set",
-                                    fmt::format("weight={}", 100 + Done)});
+      ProgramResult End = Cluster.ctl({"workspace", "set", "bids", "--set",
+                                       fmt::format("weight={}", 100 + Done)});
       (End.Code == 0 ? Done : Failed) += 1;
     }
   });
@@ -213,11 +213,11 @@
   for (int Round = 0; Round < 2; ++Round) {
     std::string Leader = Cluster.leader();
     CHECK_FALSE(Leader.empty());
-    ProgramEnd Set = Cluster.ctl({"workspace", "set", "bids", "--set",
-                                  fmt::format("weight={}", 500 + Round)});
+    ProgramResult Set = Cluster.ctl({"workspace", "set", "bids", "--set",
+                                     fmt::format("weight={}", 500 + Round)});
     LONGS_EQUAL_TEXT(0, Set.Code, Set.Output.c_str());
     Cluster.killNode(Leader);
-    ProgramEnd Show = Cluster.ctl({"workspace", "show", "bids"});
+    ProgramResult Show = Cluster.ctl({"workspace", "show", "bids"});
     LONGS_EQUAL_TEXT(0, Show.Code, Show.Output.c_str());
     CHECK_TRUE_TEXT(Show.Output.find(fmt::to_string(500 + Round)) !=
                         std::string::npos,
@@ -227,11 +227,11 @@
   }
 }
 
-TEST(FailureTest, AFolderServesOneProcessAndDamageIsReported) {
+TEST(FailureTest, DataFolderIsExclusiveAndDamageIsReported) {
   SystemCluster Cluster({.Controls = 1, .Entries = 1});
   Cluster.start();
   std::string Daemon = std::string(YARDWHEEL_BUILD_FOLDER) + "/main/yardwheeld";
-  ProgramEnd Second =
+  ProgramResult Second =
       Cluster.runProgram({Daemon, "--settings", Cluster.settingsOf("c1")});
   LONGS_EQUAL(1, Second.Code);
   CHECK_TRUE_TEXT(Second.Output.find("another process") != std::string::npos,
@@ -244,13 +244,13 @@
     std::fputc(0x7f, File);
     std::fclose(File);
   }
-  ProgramEnd Damaged =
+  ProgramResult Damaged =
       Cluster.runProgram({Daemon, "--settings", Cluster.settingsOf("c1")});
   LONGS_EQUAL(1, Damaged.Code);
   CHECK_TRUE_TEXT(Damaged.Output.find("offset") != std::string::npos,
                   Damaged.Output.c_str());
   std::filesystem::remove_all(Cluster.folder() + "/c1");
-  ProgramEnd Empty =
+  ProgramResult Empty =
       Cluster.runProgram({Daemon, "--settings", Cluster.settingsOf("c1")});
   LONGS_EQUAL(1, Empty.Code);
   CHECK_TRUE_TEXT(Empty.Output.find("--join") != std::string::npos,
--- a/tests/system/platform_cluster.cpp
+++ b/tests/system/platform_cluster.cpp
@@ -30,7 +30,8 @@
   this->Folder = ::mkdtemp(Pattern.data());
   int Process = ::getpid();
   static int Clusters = 0;
-  // Tests of one run and runs beside each other use other addresses.
+  // Clusters of one process and of concurrent processes use different
+  // addresses.
   this->Net = fmt::format("127.{}.{}", 100 + Process % 100,
                           10 + (Process / 100 + 37 * ++Clusters) % 200);
 }
@@ -99,9 +100,10 @@
     int File = ::open(Log.c_str(), O_WRONLY | O_CREAT | O_APPEND, 0600);
     ::dup2(File, STDOUT_FILENO);
     ::dup2(File, STDERR_FILENO);
-    // Nothing is left running by a program that is killed.
+    // If the test program is killed, its children are killed too.
     ::prctl(PR_SET_PDEATHSIG, SIGKILL);
-    // Else connections would live on here after their owner has closed them.
+    // Inherited descriptors would keep connections open after their owner has
+    // closed them.
     ::close_range(STDERR_FILENO + 1, ~0U, 0);
     ::setenv("YARDWHEEL_SETTINGS", Path.c_str(), 1);
     ::execl(Daemon.c_str(), Daemon.c_str(), "--platform", nullptr);
@@ -125,14 +127,14 @@
   for (int I = 1; I <= 2; ++I)
     Served = Served && waitFor([&] { return this->usesBothWorkers(I); });
   if (!Served)
-    throw std::runtime_error("the nodes do not come to serve");
+    throw std::runtime_error("the nodes do not serve jobs");
 }
 
 bool PlatformCluster::usesBothWorkers(int Front) {
   int Before1 = this->Workers[1]->starts();
   int Before2 = this->Workers[2]->starts();
   std::string Id = fmt::format("{:016x}", 0xf0000 + ++this->Probes);
-  bool Served = this->submit(Front, Id, BothWorkers, 5).Status == 200;
+  bool Served = this->submit(Front, Id, TasksForBothWorkers, 5).Status == 200;
   return Served && this->Workers[1]->starts() > Before1 &&
          this->Workers[2]->starts() > Before2;
 }
@@ -215,7 +217,7 @@
                      Body.dump());
 }
 
-long PlatformCluster::announceDead(int Side) const {
+long PlatformCluster::announceOldIncarnation(int Side) const {
   return this->announce(Side, fmt::format("i-dead-{}", Side),
                         this->announcement(Side).dump());
 }
--- a/tests/system/platform_cluster.h
+++ b/tests/system/platform_cluster.h
@@ -2,8 +2,8 @@
 ///
 /// \file
 /// Starts the daemon in its roles with settings in the platform's format, and
-/// stand-in workers beside its agents; signals them and reads their logs. Ends
-/// what it started.
+/// simulated workers beside its agents; sends signals to the processes and
+/// reads their logs. The destructor kills all processes that were started.
 ///
 //===----------------------------------------------------------------------===//
 #ifndef YARDWHEEL_TESTS_SYSTEM_PLATFORM_CLUSTER_H
@@ -23,11 +23,12 @@
 
 namespace yardwheel {
 
-/// Tasks of a job that is on both workers, of which each has room for eight.
-constexpr int BothWorkers = 12;
+/// Number of tasks of a job that needs both workers; each has capacity for
+/// eight.
+constexpr int TasksForBothWorkers = 12;
 
-/// Nodes on loopback addresses of their own, with the same ports, as on the
-/// users' machines.
+/// Nodes with their own loopback addresses and the same ports, as on the users'
+/// machines.
 class PlatformCluster {
 public:
   PlatformCluster();
@@ -39,13 +40,15 @@
                           const char *Serves);
   void start(const std::string &Name, int Host, const char *Serves);
   void rewrite(const std::string &Name, const std::string &Settings) const;
-  /// The log from its first line on settings that were taken over.
+  /// Returns the log from the first "reloaded" decision on; empty without one.
   std::string reloads(const std::string &Name) const;
   pid_t launch(const std::string &Name, const std::string &Settings);
-  /// \throws std::runtime_error if they do not come to serve.
+  /// Starts three control replicas, two entries and two agents with workers,
+  /// and waits until the entries use both workers. \throws std::runtime_error
+  /// if they do not within the timeout.
   void startAll();
-  /// Whether an entry has heard of both workers: it gives both some tasks of a
-  /// job that does not fit one.
+  /// Submits a job that does not fit on one worker. \returns whether it was
+  /// served and the entry used both workers.
   bool usesBothWorkers(int Front);
   void addWorker(int Side, const char *Pool = "pool");
   nlohmann::json config(std::uint64_t Version) const;
@@ -54,36 +57,39 @@
                           const std::string &Body = "") const;
   HttpResult submit(int Front, const std::string &Id, int Tasks,
                     int Millis) const;
-  /// Asks for the count of a route that the usual configuration lacks.
+  /// Sends a GET request to a route that the usual configuration lacks.
   HttpResult readUnknownRoute(int Front) const;
-  /// The state of its route table that an entry has logged last.
+  /// Returns the route table state that an entry logged last.
   std::string tableState(const std::string &Name) const;
   HttpResult post(int Front, const std::string &Id,
                   const nlohmann::json &Body) const;
-  /// Announces an earlier life of a worker to its agent.
-  long announceDead(int Side) const;
-  /// What a worker on this side host would say of itself.
+  /// Announces an earlier incarnation of a worker to its agent.
+  /// \returns the HTTP status.
+  long announceOldIncarnation(int Side) const;
+  /// Returns the announcement of a worker on this side host.
   nlohmann::json announcement(int Side) const;
   long announce(int Side, const std::string &Id, const std::string &Body) const;
   void kill(const std::string &Name);
   void signal(const std::string &Name, int Number);
   int wait(const std::string &Name);
-  /// \returns how a process has ended, a signal as 128 and its number; nothing
-  /// while it runs.
+  /// \returns the exit code of a process, or 128 plus the number of the signal
+  /// that ended it; nothing while it runs.
   std::optional<int> tryWait(const std::string &Name);
-  /// Whether a process has got as far as to deal with a signal itself.
+  /// Returns whether a process has blocked a signal or installed a handler for
+  /// it.
   bool handles(const std::string &Name, int Number) const;
   std::string log(const std::string &Name) const;
-  /// How often a node has logged a decision.
+  /// Returns how often a node has logged a decision.
   int count(const std::string &Name, const std::string &Decision) const;
   const std::string &folder() const { return this->Folder; }
 
-  /// Whether calls to workers pass a proxy; set before they are added.
+  /// Whether calls to workers pass through a proxy; set before workers are
+  /// added.
   bool ProxyWorkers = false;
-  /// Whether settings, logs and disks outlive this object.
+  /// Whether settings, logs and data folders are kept after destruction.
   bool KeepFolder = false;
   RunRecorder Recorder;
-  /// How long callers wait; set before the configuration is replaced.
+  /// Request timeout of the routes; set before the configuration is replaced.
   std::chrono::milliseconds RouteTimeout{3000};
   std::map<int, std::unique_ptr<PlatformWorker>> Workers;
   std::map<int, std::unique_ptr<SilentProxy>> Proxies;
--- a/tests/system/platform_process_test.cpp
+++ b/tests/system/platform_process_test.cpp
@@ -1,4 +1,4 @@
-//===- Ends, disks and settings on the platform ---------------------------===//
+//===- Shutdown, disk loss and settings on the platform -------------------===//
 
 #include "tests/system/platform_cluster.h"
 
@@ -9,7 +9,7 @@
 #include <fmt/format.h>
 #include <future>
 
-// Last: it redefines new.
+// Included last because it redefines new.
 #include <CppUTest/TestHarness.h>
 
 using namespace yardwheel;
@@ -18,7 +18,7 @@
 
 TEST_GROUP(PlatformProcessTest){};
 
-TEST(PlatformProcessTest, AnEntryThatIsToldToEndAnswersWhatItHasTaken) {
+TEST(PlatformProcessTest, DrainingEntryAnswersAcceptedJobs) {
   PlatformCluster Cluster;
   Cluster.startAll();
   constexpr int CallCount = 6;
@@ -31,7 +31,7 @@
     }));
   CHECK(waitFor([&] { return Cluster.Recorder.alive() == CallCount; }));
   Cluster.signal("front1", SIGTERM);
-  // Callers use the entry on while the balancer still sends them there.
+  // The entry accepts jobs while the load balancer still sends callers there.
   LONGS_EQUAL(200, Cluster.submit(1, "00000000000000ac", 1, 20).Status);
   for (std::future<long> &Call : Calls)
     LONGS_EQUAL(200, Call.get());
@@ -39,8 +39,9 @@
   STRCMP_CONTAINS("\"decision\":\"stopped\"", Cluster.log("front1").c_str());
 }
 
-// What cannot end in time is given up, and its caller told.
-TEST(PlatformProcessTest, AnEntryThatEndsAnswersJobsThatOutlastIt) {
+// Jobs that cannot complete in time are cancelled, and their callers receive a
+// response.
+TEST(PlatformProcessTest, DrainingEntryAnswersJobsThatOutlastIt) {
   PlatformCluster Cluster;
   Cluster.RouteTimeout = 20s;
   Cluster.startAll();
@@ -55,7 +56,8 @@
   CHECK(waitFor([&] { return Cluster.Recorder.alive() == 0; }));
 }
 
-// Callers use the entry to its last moment; whoever reached it is answered.
+// Callers send requests until the entry has stopped. Each request that it has
+// read must be answered.
 TEST(PlatformProcessTest, AnEntryThatEndsCutsNoRequestThatItHasRead) {
   PlatformCluster Cluster;
   Cluster.startAll();
@@ -71,7 +73,7 @@
         std::string Id = fmt::format("{:016x}", 0x10000 * (Caller + 1) + I);
         auto Sent = std::chrono::steady_clock::now();
         HttpResult Result = Cluster.submit(1, Id, 1, 150);
-        // One that is cut sooner has not been read.
+        // A request whose connection closes sooner was not read.
         bool Taken = std::chrono::steady_clock::now() - Sent > 100ms;
         if (Result.Status != 0)
           ++Answered;
@@ -88,7 +90,7 @@
   LONGS_EQUAL(0, Cut.load());
 }
 
-TEST(PlatformProcessTest, AReplicaThatLostItsDiskIsReplacedWithoutACommand) {
+TEST(PlatformProcessTest, ReplicaWithLostDiskIsReplacedAutomatically) {
   PlatformCluster Cluster;
   Cluster.startAll();
   std::uint64_t Version = 100;
@@ -99,7 +101,7 @@
     std::filesystem::remove_all(
         fmt::format("{}/data-{}", Cluster.folder(), Name));
     Cluster.start(Name, 20 + Replica, "control");
-    // It holds the configuration once it has become a voter.
+    // The replica has the configuration once it has become a voter.
     CHECK(waitFor([&] {
       HttpClient Client(2s);
       std::string Text = Client
@@ -119,8 +121,8 @@
   LONGS_EQUAL(Version, json::parse(Read.Body)["version"].get<std::uint64_t>());
 }
 
-// The file may change with and without a signal.
-TEST(PlatformProcessTest, ChangedSettingsAreTakenOverByEveryRole) {
+// The settings file may change with or without a signal.
+TEST(PlatformProcessTest, EveryRoleReloadsChangedSettings) {
   struct Row {
     const char *Name;
     int Host;
@@ -139,7 +141,7 @@
     Body["seeds"] = {Cluster.at(24, 3)};
     Cluster.rewrite(Row.Name, Body.dump());
     CHECK(waitFor([&] { return !Cluster.reloads(Row.Name).empty(); }));
-    // One that cannot be read leaves all as it is.
+    // An unreadable file leaves the settings unchanged.
     Cluster.rewrite(Row.Name, "{");
     CHECK(waitFor([&] {
       return Cluster.log(Row.Name).find("not taken over") != std::string::npos;
@@ -149,7 +151,7 @@
   }
 }
 
-TEST(PlatformProcessTest, AWrongSettingsFileIsNamedInOneLine) {
+TEST(PlatformProcessTest, InvalidSettingsAreReportedInOneLine) {
   PlatformCluster Cluster;
   json Good = Cluster.settings("x", 30, "front");
   struct Row {
--- a/tests/system/platform_runs_test.cpp
+++ b/tests/system/platform_runs_test.cpp
@@ -6,7 +6,7 @@
 #include <future>
 #include <thread>
 
-// Last: it redefines new.
+// Included last because it redefines new.
 #include <CppUTest/TestHarness.h>
 
 using namespace yardwheel;
@@ -15,52 +15,59 @@
 
 TEST_GROUP(PlatformRunsTest){};
 
-// The caller hands a job in again at another entry 1,300 ms after its entry
-// was killed: by then no run of the first may be alive.
-TEST(PlatformRunsTest, RunsOfAKilledEntryEndBeforeTheJobMayBeginAgain) {
+// A caller resubmits a job at another entry 1,300 ms after its entry was
+// killed. By then no run of the first submission may be alive.
+TEST(PlatformRunsTest, RunsOfAKilledEntryEndBeforeResubmission) {
   PlatformCluster Cluster;
   Cluster.startAll();
   auto First = std::async(std::launch::async, [&] {
-    return Cluster.submit(1, "00000000000000c1", BothWorkers, 2500).Status;
+    return Cluster.submit(1, "00000000000000c1", TasksForBothWorkers, 2500)
+        .Status;
   });
-  CHECK(waitFor([&] { return Cluster.Recorder.alive() == BothWorkers; }));
+  CHECK(
+      waitFor([&] { return Cluster.Recorder.alive() == TasksForBothWorkers; }));
   Cluster.kill("front1");
   LONGS_EQUAL(0, First.get());
   std::this_thread::sleep_for(1300ms);
   LONGS_EQUAL(0, Cluster.Recorder.alive());
-  LONGS_EQUAL(200,
-              Cluster.submit(2, "00000000000000c1", BothWorkers, 50).Status);
+  LONGS_EQUAL(
+      200,
+      Cluster.submit(2, "00000000000000c1", TasksForBothWorkers, 50).Status);
   LONGS_EQUAL(0, Cluster.Recorder.overlaps());
 }
 
-TEST(PlatformRunsTest, RunsOfAKilledAgentLapseAndItsSuccessorFencesThem) {
+TEST(PlatformRunsTest, RunsOfAKilledAgentExpireAndItsSuccessorRaisesTheToken) {
   PlatformCluster Cluster;
   Cluster.startAll();
   auto First = std::async(std::launch::async, [&] {
-    return Cluster.submit(1, "00000000000000d1", BothWorkers, 2500).Status;
+    return Cluster.submit(1, "00000000000000d1", TasksForBothWorkers, 2500)
+        .Status;
   });
-  CHECK(waitFor([&] { return Cluster.Recorder.alive() == BothWorkers; }));
+  CHECK(
+      waitFor([&] { return Cluster.Recorder.alive() == TasksForBothWorkers; }));
   std::uint64_t Token = Cluster.Workers[1]->highestToken();
   Cluster.kill("side1");
-  // The entry can no longer answer for its runs there and says so at once.
+  // The entry no longer knows the outcome of its runs there and reports that at
+  // once.
   LONGS_EQUAL(504, First.get());
   std::this_thread::sleep_for(1300ms);
   LONGS_EQUAL(0, Cluster.Recorder.alive());
   Cluster.start("side1", 11, "side");
   CHECK(waitFor([&] { return Cluster.Workers[1]->highestToken() > Token; }));
-  LONGS_EQUAL(200,
-              Cluster.submit(1, "00000000000000d1", BothWorkers, 50).Status);
+  LONGS_EQUAL(
+      200,
+      Cluster.submit(1, "00000000000000d1", TasksForBothWorkers, 50).Status);
   LONGS_EQUAL(0, Cluster.Recorder.overlaps());
 }
 
-TEST(PlatformRunsTest, StartsThatAreCarriedOutLateStartNothingTwice) {
+TEST(PlatformRunsTest, DelayedStartsStartNoTaskTwice) {
   PlatformCluster Cluster;
   Cluster.startAll();
   Cluster.Workers[1]->delayStarts(600ms);
   int Served = 0;
   for (int I = 0; I < 4; ++I) {
     std::string Id = fmt::format("{:016x}", 0xe00 + I);
-    if (Cluster.submit(1, Id, BothWorkers, 300).Status == 200)
+    if (Cluster.submit(1, Id, TasksForBothWorkers, 300).Status == 200)
       ++Served;
   }
   std::this_thread::sleep_for(1s);
@@ -68,9 +75,10 @@
   LONGS_EQUAL(4, Served);
 }
 
-// It holds and knows nothing of before, and counts its ends from 1 again. Taken
-// for the life before, it left jobs without an answer until their deadline.
-TEST(PlatformRunsTest, AWorkerThatStartsAgainUnderItsIdServesOn) {
+// A restarted worker has lost its state and numbers its ends from 1 again. When
+// the agent took it for the previous incarnation, jobs remained without an
+// answer until their deadline.
+TEST(PlatformRunsTest, RestartedWorkerWithTheSameIdServesAgain) {
   struct Row {
     const char *Name;
     int Restarts;
@@ -88,17 +96,20 @@
   Cluster.startAll();
   int Job = 0xb00;
   auto Submit = [&](int Millis) {
-    return Cluster.submit(1, fmt::format("{:016x}", ++Job), BothWorkers, Millis)
+    return Cluster
+        .submit(1, fmt::format("{:016x}", ++Job), TasksForBothWorkers, Millis)
         .Status;
   };
   for (const Row &Row : Rows) {
-    // Their ends are acknowledged, up to a number that the next life has not.
+    // Ends are acknowledged up to a number that the next incarnation has not
+    // reached.
     CHECK_TEXT(waitFor([&] { return Cluster.usesBothWorkers(1); }), Row.Name);
     std::future<long> Under;
     auto Begun = std::chrono::steady_clock::now();
     if (Row.UnderAJob) {
       Under = std::async(std::launch::async, Submit, 800);
-      CHECK(waitFor([&] { return Cluster.Recorder.alive() == BothWorkers; }));
+      CHECK(waitFor(
+          [&] { return Cluster.Recorder.alive() == TasksForBothWorkers; }));
     }
     for (int I = 0; I < Row.Restarts; ++I) {
       for (auto &[Side, Worker] : Cluster.Workers)
@@ -111,13 +122,13 @@
       auto Took = std::chrono::steady_clock::now() - Begun;
       CHECK_TEXT(Took < Cluster.RouteTimeout - 200ms, Row.Name);
     }
-    // Within a heartbeat of a worker, callers that come again are served.
+    // Callers that retry are served within a heartbeat of a worker.
     CHECK_TEXT(waitFor([&] { return Submit(50) == 200; }), Row.Name);
     LONGS_EQUAL_TEXT(0, Cluster.Recorder.overlaps(), Row.Name);
   }
 }
 
-// Connections may go silent without a reset while new ones work.
+// Open connections may stop carrying data without a reset while new ones work.
 TEST(PlatformRunsTest, SilentConnectionsToWorkersAreReplaced) {
   PlatformCluster Cluster;
   Cluster.ProxyWorkers = true;
@@ -125,40 +136,46 @@
   for (int Round = 0; Round < 3; ++Round) {
     LONGS_EQUAL(200, Cluster
                          .submit(1, fmt::format("{:016x}", 0x500 + Round),
-                                 BothWorkers, 50)
+                                 TasksForBothWorkers, 50)
                          .Status);
     for (auto &[Side, Proxy] : Cluster.Proxies)
       Proxy->silence();
   }
-  // Also runs under way live on, by a lease on another connection.
+  // Runs in progress also survive: their lease is renewed on another
+  // connection.
   auto Long = std::async(std::launch::async, [&] {
-    return Cluster.submit(1, "0000000000000600", BothWorkers, 1500).Status;
+    return Cluster.submit(1, "0000000000000600", TasksForBothWorkers, 1500)
+        .Status;
   });
-  CHECK(waitFor([&] { return Cluster.Recorder.alive() == BothWorkers; }));
+  CHECK(
+      waitFor([&] { return Cluster.Recorder.alive() == TasksForBothWorkers; }));
   for (auto &[Side, Proxy] : Cluster.Proxies)
     Proxy->silence();
   LONGS_EQUAL(200, Long.get());
   LONGS_EQUAL(0, Cluster.Recorder.overlaps());
 }
 
-// An announcement may be held up until after its sender has restarted.
-TEST(PlatformRunsTest, ALateAnnouncementOfADeadWorkerChangesNothing) {
+// An announcement may be delayed until after its sender has restarted.
+TEST(PlatformRunsTest, LateAnnouncementOfAnOldIncarnationChangesNothing) {
   PlatformCluster Cluster;
   Cluster.startAll();
   auto Running = std::async(std::launch::async, [&] {
-    return Cluster.submit(1, "0000000000000700", BothWorkers, 1000).Status;
+    return Cluster.submit(1, "0000000000000700", TasksForBothWorkers, 1000)
+        .Status;
   });
-  CHECK(waitFor([&] { return Cluster.Recorder.alive() == BothWorkers; }));
+  CHECK(
+      waitFor([&] { return Cluster.Recorder.alive() == TasksForBothWorkers; }));
   int Starts = Cluster.Recorder.starts();
   for (int Side : {1, 2})
-    LONGS_EQUAL(200, Cluster.announceDead(Side));
+    LONGS_EQUAL(200, Cluster.announceOldIncarnation(Side));
   LONGS_EQUAL(200, Running.get());
   LONGS_EQUAL(Starts, Cluster.Recorder.starts());
   LONGS_EQUAL(0, Cluster.Recorder.overlaps());
 }
 
-// Of the present worker, of one that was never there, and before there is any.
-TEST(PlatformRunsTest, AnnouncementsThatCannotBeReadNameNoWorker) {
+// Invalid announcements with the id of the present worker, with an unknown id,
+// and at an agent that has no worker yet.
+TEST(PlatformRunsTest, InvalidAnnouncementsAttachNoWorker) {
   PlatformCluster Cluster;
   Cluster.startAll();
   json Warming = Cluster.announcement(1);
@@ -190,7 +207,8 @@
         LONGS_EQUAL_TEXT(400, Cluster.announce(Side, Id, Body), Name);
     LONGS_EQUAL_TEXT(
         200,
-        Cluster.submit(1, fmt::format("{:016x}", ++Job), BothWorkers, 20)
+        Cluster
+            .submit(1, fmt::format("{:016x}", ++Job), TasksForBothWorkers, 20)
             .Status,
         Name);
   }
@@ -200,7 +218,7 @@
   LONGS_EQUAL(0, Cluster.Recorder.overlaps());
 }
 
-TEST(PlatformRunsTest, AWorkerOfAPoolThatNoRouteNamesIsLeftAlone) {
+TEST(PlatformRunsTest, WorkerOfAPoolWithoutARouteIsNotUsed) {
   PlatformCluster Cluster;
   Cluster.startAll();
   Cluster.start("side3", 13, "side");
@@ -213,10 +231,10 @@
     }));
   unsigned Job = 0x900;
   for (int Front : {1, 2}) {
-    LONGS_EQUAL(
-        200,
-        Cluster.submit(Front, fmt::format("{:016x}", ++Job), BothWorkers, 20)
-            .Status);
+    LONGS_EQUAL(200, Cluster
+                         .submit(Front, fmt::format("{:016x}", ++Job),
+                                 TasksForBothWorkers, 20)
+                         .Status);
   }
   LONGS_EQUAL(0, Cluster.Workers[3]->starts());
   LONGS_EQUAL(200, Cluster.replace(2));
--- a/tests/system/platform_test.cpp
+++ b/tests/system/platform_test.cpp
@@ -6,7 +6,7 @@
 #include <fmt/format.h>
 #include <thread>
 
-// Last: it redefines new.
+// Included last because it redefines new.
 #include <CppUTest/TestHarness.h>
 
 using namespace yardwheel;
@@ -15,10 +15,10 @@
 
 TEST_GROUP(PlatformTest){};
 
-TEST(PlatformTest, TheWholePathServesAndRefusesAsItSays) {
+TEST(PlatformTest, JobsAreServedOrRefusedWithAReason) {
   PlatformCluster Cluster;
   Cluster.start("front1", 1, "front");
-  // Without a configuration a queue is not unknown, but not known yet.
+  // Without a configuration the entry cannot tell whether a queue exists.
   CHECK(waitFor([&] {
     return Cluster.submit(1, "00000000000000a1", 1, 5).Status == 503;
   }));
@@ -76,7 +76,8 @@
     LONGS_EQUAL(
         200,
         Cluster.operatorCall(Host, "POST", "/config/replace", Body).Status);
-    // Again after a lost answer, then an older one, then another of the same.
+    // The same configuration again, as after a lost response, then a different
+    // one of the same version, then an invalid one.
     LONGS_EQUAL(
         200,
         Cluster.operatorCall(Host, "POST", "/config/replace", Body).Status);
@@ -97,9 +98,9 @@
   }
 }
 
-// While control is silent nothing newer can be told of: known routes are served
-// on, and a route that is not known may have been added.
-TEST(PlatformTest, AnEntryWithoutControlServesWhatItKnowsAndDeniesNothing) {
+// While control is unreachable, an entry cannot learn of newer configurations.
+// It continues to serve known routes; an unknown route may have been added.
+TEST(PlatformTest, EntryWithoutControlServesKnownRoutesOnly) {
   PlatformCluster Cluster;
   Cluster.startAll();
   const std::vector<std::string> Controls = {"core1", "core2", "core3"};
@@ -117,16 +118,16 @@
   CHECK(waitFor([&] { return Cluster.readUnknownRoute(1).Status == 404; }));
 }
 
-// A frozen entry wakes with its old table and reads requests before news of the
-// change: it may refuse them, but not handle them as the old table says.
-TEST(PlatformTest, AnEntryThatWakesHandlesNothingByItsOldTable) {
+// A frozen entry resumes with its old table and reads requests before it learns
+// of the change. It may refuse them but must not handle them by the old table.
+TEST(PlatformTest, ResumedEntryDoesNotUseItsOldTable) {
   PlatformCluster Cluster;
   Cluster.startAll();
   json Config = Cluster.config(2);
   json Added = Config["routes"][0];
   Added["name"] = "added";
   Added["pathPrefix"] = "/x/";
-  // In place of the dropped route.
+  // Replaces the dropped route.
   Config["routes"][0] = Added;
   Cluster.signal("front1", SIGSTOP);
   LONGS_EQUAL(200,
--- a/tests/system/platform_worker.cpp
+++ b/tests/system/platform_worker.cpp
@@ -10,10 +10,10 @@
 
 namespace {
 
-constexpr std::chrono::milliseconds TickEvery{5};
+constexpr std::chrono::milliseconds TickInterval{5};
 constexpr std::chrono::milliseconds CallTimeout{1000};
-/// Which life of a worker a call is meant for.
-constexpr const char *LifeHeader = "X-Yardwheel-Target-Instance";
+/// Names the worker instance that a call is addressed to.
+constexpr const char *TargetInstanceHeader = "X-Yardwheel-Target-Instance";
 
 } // namespace
 
@@ -23,8 +23,8 @@
   HttpServerOptions Serving;
   Serving.Listen = this->Options.Listen;
   Serving.Threads = 1;
-  Serving.Headers = {LifeHeader};
-  // The handler lives as long as the server, which this object owns.
+  Serving.Headers = {TargetInstanceHeader};
+  // This object owns the server and outlives it, so the handler is not deleted.
   std::shared_ptr<HttpHandler> Handler(this, [](HttpHandler *) {});
   this->Born = std::chrono::duration_cast<std::chrono::milliseconds>(
                    std::chrono::system_clock::now().time_since_epoch())
@@ -33,13 +33,13 @@
   this->Ticker = std::thread([this] {
     while (!this->Stopping.load()) {
       this->tick();
-      std::this_thread::sleep_for(TickEvery);
+      std::this_thread::sleep_for(TickInterval);
     }
   });
   this->Announcer = std::thread([this] {
     while (!this->Stopping.load()) {
       this->announce();
-      std::this_thread::sleep_for(this->Options.HeartbeatEvery);
+      std::this_thread::sleep_for(this->Options.HeartbeatInterval);
     }
   });
 }
@@ -49,10 +49,10 @@
   this->Ticker.join();
   this->Announcer.join();
   this->Server->stop();
-  // What runs ends with it.
+  // Runs in progress end with the worker.
   std::lock_guard Lock(this->Mutex);
   auto Now = Clock::now();
-  this->settle(Now);
+  this->endExpiredRuns(Now);
   for (const auto &[Task, Known] : this->Runs)
     this->Recorder.onEnd(Task, this->Options.Id, Now, false);
 }
@@ -60,7 +60,7 @@
 void PlatformWorker::restart(std::chrono::milliseconds Down) {
   std::lock_guard Lock(this->Mutex);
   auto Now = Clock::now();
-  this->settle(Now);
+  this->endExpiredRuns(Now);
   for (const auto &[Task, Known] : this->Runs)
     this->Recorder.onEnd(Task, this->Options.Id, Now, false);
   this->Runs.clear();
@@ -73,12 +73,12 @@
   this->Holds.clear();
   this->LateStarts.clear();
   this->DownUntil = Now + Down;
-  this->Begun = this->DownUntil - std::chrono::seconds(1);
+  this->ClockStart = this->DownUntil - std::chrono::seconds(1);
   this->Born += Down.count() + 1;
 }
 
 void PlatformWorker::addBorn(json &Body) const {
-  if (this->Options.SaysBorn)
+  if (this->Options.AnnouncesBorn)
     Body["born"] = this->Born;
 }
 
@@ -89,7 +89,7 @@
 
 std::int64_t PlatformWorker::clockMs() const {
   return std::chrono::duration_cast<std::chrono::milliseconds>(Clock::now() -
-                                                               this->Begun)
+                                                               this->ClockStart)
       .count();
 }
 
@@ -168,13 +168,13 @@
   return "";
 }
 
-void PlatformWorker::settle(Clock::time_point Now) {
-  auto Lapse = this->Begun + std::chrono::milliseconds(this->LeaseUntil);
-  std::vector<std::string> Over;
+void PlatformWorker::endExpiredRuns(Clock::time_point Now) {
+  auto Lapse = this->ClockStart + std::chrono::milliseconds(this->LeaseUntil);
+  std::vector<std::string> Expired;
   for (const auto &[Task, Known] : this->Runs)
     if (Now >= std::min(Known.EndsAt, Lapse))
-      Over.push_back(Task);
-  for (const std::string &Task : Over) {
+      Expired.push_back(Task);
+  for (const std::string &Task : Expired) {
     auto EndsAt = this->Runs.at(Task).EndsAt;
     bool Done = EndsAt < Lapse;
     this->end(Task, Done ? "done" : "lapsed", Done ? EndsAt : Lapse);
@@ -188,9 +188,9 @@
   this->Runs.erase(Task);
   this->Recorder.onEnd(Task, this->Options.Id, At,
                        std::string_view(How) == "done");
-  std::deque<Waiting> Woken;
-  std::swap(Woken, this->Holds);
-  for (const Waiting &Open : Woken)
+  std::deque<PendingHold> Pending;
+  std::swap(Pending, this->Holds);
+  for (const PendingHold &Open : Pending)
     this->answerHold(Open.Reply);
 }
 
@@ -221,8 +221,8 @@
 
 void PlatformWorker::handle(const HttpRequest &Request,
                             std::shared_ptr<HttpReply> Reply) {
-  auto Life = Request.Headers.find(LifeHeader);
-  if (Life != Request.Headers.end() && Life->second != this->Options.Id) {
+  auto Target = Request.Headers.find(TargetInstanceHeader);
+  if (Target != Request.Headers.end() && Target->second != this->Options.Id) {
     HttpAnswer Answer;
     Answer.Status = HttpStatus::Misdirected;
     Answer.Body = "{}";
@@ -233,7 +233,7 @@
   std::lock_guard Lock(this->Mutex);
   if (this->isDown())
     return;
-  this->settle(Clock::now());
+  this->endExpiredRuns(Clock::now());
   if (Request.Resource == "/run-start") {
     if (this->Delay.count() > 0)
       this->LateStarts.push_back({Body, Clock::now() + this->Delay});
@@ -259,7 +259,7 @@
 void PlatformWorker::tick() {
   std::lock_guard Lock(this->Mutex);
   auto Now = Clock::now();
-  this->settle(Now);
+  this->endExpiredRuns(Now);
   while (!this->LateStarts.empty() && Now >= this->LateStarts.front().At) {
     json Body = this->LateStarts.front().Body;
     this->LateStarts.pop_front();
--- a/tests/system/platform_worker.h
+++ b/tests/system/platform_worker.h
@@ -1,12 +1,13 @@
-//===- tests/system/platform_worker.h - A stand-in worker -------*- C++ -*-===//
+//===- tests/system/platform_worker.h - A simulated worker ------*- C++ -*-===//
 ///
 /// \file
-/// A worker of the users' machines, written from their pages for the tests: it
-/// announces itself, starts and stops runs, gives leases by its own clock,
-/// keeps the highest fencing token, tells ends in order until they are
-/// acknowledged, and can leave orders unanswered and carry them out late.
+/// Simulates a worker of the users' machines according to their documentation.
+/// It announces itself, starts and stops runs, grants leases by its own clock,
+/// keeps the highest fencing token, and reports ends in order until they are
+/// acknowledged. It can also leave start requests unanswered and execute them
+/// late.
 ///
-/// A task's spec says how long it runs, in milliseconds.
+/// A task's spec is its duration in milliseconds.
 ///
 //===----------------------------------------------------------------------===//
 #ifndef YARDWHEEL_TESTS_SYSTEM_PLATFORM_WORKER_H
@@ -31,16 +32,16 @@
 struct PlatformWorkerOptions {
   std::string Id;
   std::string Listen;
-  /// Where calls to it are to go, if not to where it listens.
+  /// Address that it announces for calls, if it differs from Listen.
   std::string Announced;
-  /// Where its agent takes announcements.
+  /// Address at which its agent accepts announcements.
   std::string Agent;
   std::string Pool = "pool";
   int CpuMilli = 4000;
-  std::chrono::milliseconds HeartbeatEvery{300};
+  std::chrono::milliseconds HeartbeatInterval{300};
   std::chrono::milliseconds MaxLease{1000};
-  /// Whether it says when its life began.
-  bool SaysBorn = true;
+  /// Whether announcements and hold replies contain the time of its last start.
+  bool AnnouncesBorn = true;
 };
 
 class PlatformWorker final : public HttpHandler {
@@ -51,15 +52,15 @@
   void handle(const HttpRequest &Request,
               std::shared_ptr<HttpReply> Reply) override;
 
-  /// Every start from now on is left without a reply, and carried out after
-  /// this.
+  /// Leaves all further start requests without a reply and executes them after
+  /// \p Delay.
   void delayStarts(std::chrono::milliseconds Delay);
   void setDraining() { this->Draining.store(true); }
-  /// Ends this life and all that it holds, and begins another under the same id
-  /// after \p Down, in which nothing is answered. Returns at once.
+  /// Restarts under the same id with all state lost. No request is answered for
+  /// \p Down. Returns immediately.
   void restart(std::chrono::milliseconds Down);
   std::uint64_t highestToken() const { return this->Token; }
-  /// Runs that it has begun.
+  /// Returns the number of runs started.
   int starts() const { return this->Starts.load(); }
   std::size_t running() const;
 
@@ -70,37 +71,37 @@
     Clock::time_point EndsAt;
     int CpuMilli = 0;
   };
-  struct Waiting {
+  struct PendingHold {
     std::shared_ptr<HttpReply> Reply;
     Clock::time_point Until;
   };
-  struct Late {
+  struct LateStart {
     nlohmann::json Body;
     Clock::time_point At;
   };
 
-  /// \returns why a call was refused, or nothing.
+  /// \returns the reason if the call was refused, else an empty string.
   std::string start(const nlohmann::json &Body);
   std::string stop(const nlohmann::json &Body);
   bool checkToken(const nlohmann::json &Body);
   void extendLease(const nlohmann::json &Body);
-  /// Ends the runs whose time is over, at the times at which they end however
-  /// late that is seen to.
-  void settle(Clock::time_point Now);
+  /// Ends the runs whose duration or lease is over by \p Now. Each is recorded
+  /// with the time at which it was over, which may be earlier.
+  void endExpiredRuns(Clock::time_point Now);
   void end(const std::string &Task, const char *How, Clock::time_point At);
   void reply(const std::shared_ptr<HttpReply> &Reply,
              const std::string &Refusal) const;
   void answerHold(const std::shared_ptr<HttpReply> &Reply) const;
   std::int64_t clockMs() const;
   bool isDown() const { return Clock::now() < this->DownUntil; }
-  /// Names the present life in what it says of itself.
+  /// Adds the time of the last start, which identifies the incarnation.
   void addBorn(nlohmann::json &Body) const;
   void tick();
   void announce();
 
   PlatformWorkerOptions Options;
   RunRecorder &Recorder;
-  Clock::time_point Begun = Clock::now() - std::chrono::seconds(100);
+  Clock::time_point ClockStart = Clock::now() - std::chrono::seconds(100);
   mutable std::mutex Mutex;
   std::map<std::string, Run> Runs;
   std::map<std::string, std::uint64_t> LastRuns;
@@ -109,13 +110,13 @@
   std::int64_t LeaseUntil = 0;
   std::uint64_t Token = 0;
   std::atomic<int> Starts{0};
-  std::deque<Waiting> Holds;
-  std::deque<Late> LateStarts;
+  std::deque<PendingHold> Holds;
+  std::deque<LateStart> LateStarts;
   std::chrono::milliseconds Delay{0};
   Clock::time_point DownUntil{};
   std::int64_t Born = 0;
   std::atomic<bool> Draining{false};
-  /// Of the last announcement.
+  /// Sequence number of the last announcement.
   std::uint64_t Sequence = 0;
   std::atomic<bool> Stopping{false};
   std::thread Ticker;
--- a/tests/system/run_recorder.cpp
+++ b/tests/system/run_recorder.cpp
@@ -41,7 +41,7 @@
   std::lock_guard Lock(this->Mutex);
   std::vector<std::string> Found;
   for (const auto &[Task, Runs] : this->Spans) {
-    // In the order of their starts.
+    // Runs are in the order of their starts.
     RunSpan::TimePoint Latest = RunSpan::TimePoint::min();
     bool Overlap = false;
     for (const RunSpan &Run : Runs) {
--- a/tests/system/run_recorder.h
+++ b/tests/system/run_recorder.h
@@ -1,8 +1,8 @@
 //===- tests/system/run_recorder.h - Runs of all workers --------*- C++ -*-===//
 ///
 /// \file
-/// Sees the starts and ends of the runs of all stand-in workers under one lock,
-/// with their times, so that what it tells holds on a slow machine too.
+/// Records the starts and ends of the runs of all simulated workers with their
+/// times, under one lock, so that its results are valid on a slow machine too.
 ///
 //===----------------------------------------------------------------------===//
 #ifndef YARDWHEEL_TESTS_SYSTEM_RUN_RECORDER_H
@@ -30,19 +30,19 @@
 class RunRecorder {
 public:
   void onStart(const std::string &Task, const std::string &Worker);
-  /// \param At When it ended by its length and its lease, which may be before
-  /// its worker came to see to that.
+  /// \param At When the run ended according to its duration and its lease. This
+  /// may be before the worker noticed the end.
   void onEnd(const std::string &Task, const std::string &Worker,
              RunSpan::TimePoint At, bool Done);
-  /// Starts of a task while another run of it was alive, as far as workers had
-  /// seen to their ends by then.
+  /// Returns the number of starts of a task while another run of it was alive,
+  /// counting a run as alive until its worker has noticed its end.
   int overlaps() const { return this->Overlaps.load(); }
   int starts() const { return this->Starts.load(); }
   int alive() const;
-  /// Tasks of which two runs were alive at one time, by the times of their
-  /// ends. To be called when none is alive.
+  /// Returns the tasks with two runs alive at the same time, according to their
+  /// end times. Must be called when no run is alive.
   std::vector<std::string> overlappingTasks() const;
-  /// The runs of a job's tasks, by task.
+  /// Returns the runs of a job's tasks by task.
   std::map<std::string, std::vector<RunSpan>>
   runsOf(const std::string &Job) const;
 
--- a/tests/system/system_cluster.cpp
+++ b/tests/system/system_cluster.cpp
@@ -60,8 +60,8 @@
 }
 
 int freePort() {
-  // Below the ports that connections of any process are given (from 32768 on):
-  // two of 40 runs beside each other ended as a port had been taken meanwhile.
+  // Ports below the ephemeral range (from 32768 on). With ephemeral ports, two
+  // of 40 concurrent runs failed because another process had taken a port.
   constexpr int First = 12000;
   constexpr int Count = 20000;
   constexpr int PerProcess = 61;
@@ -216,8 +216,8 @@
 HttpResult SystemCluster::call(const std::string &Method,
                                const std::string &Url,
                                const std::string &Body) {
-  // A connection of its own for each call: what one leaves behind must not
-  // change what the next is answered.
+  // Each call uses a new connection, so that the state of one connection cannot
+  // affect the response to the next call.
   HttpClient Client(std::chrono::milliseconds(30000));
   return Client.call(Method, Url, Body);
 }
@@ -230,13 +230,13 @@
       Body);
 }
 
-ProgramEnd SystemCluster::runProgram(const std::vector<std::string> &Words) {
+ProgramResult SystemCluster::runProgram(const std::vector<std::string> &Words) {
   int Pipe[2];
   if (::pipe2(Pipe, O_CLOEXEC) != 0)
     throw Error("system test", Words[0], "cannot make a pipe");
   pid_t Process = spawn(Words, Pipe[1]);
   ::close(Pipe[1]);
-  ProgramEnd End;
+  ProgramResult End;
   char Buffer[4096];
   ssize_t Count = 0;
   while ((Count = ::read(Pipe[0], Buffer, sizeof(Buffer))) > 0)
@@ -248,7 +248,7 @@
   return End;
 }
 
-ProgramEnd SystemCluster::ctl(const std::vector<std::string> &Words) {
+ProgramResult SystemCluster::ctl(const std::vector<std::string> &Words) {
   std::string Controls;
   std::string Entries;
   for (const auto &[Name, Address] : this->Http) {
--- a/tests/system/system_cluster.h
+++ b/tests/system/system_cluster.h
@@ -1,9 +1,10 @@
 //===- tests/system/system_cluster.h - Real processes on loopback -*- C++ -*-=//
 ///
 /// \file
-/// Starts the daemon in its roles and fake upstreams as processes of their own,
-/// signals them, and reads the upstreams' log of starts. Ends what it started.
-/// Waits poll for a condition, with limits far above any healthy time.
+/// Starts the daemon in its roles and fake upstreams as separate processes,
+/// signals them, and reads the upstreams' log of task starts. The destructor
+/// kills all processes that were started. Waits poll for a condition with
+/// timeouts far above the time that a healthy cluster needs.
 ///
 //===----------------------------------------------------------------------===//
 #ifndef YARDWHEEL_TESTS_SYSTEM_SYSTEM_CLUSTER_H
@@ -27,8 +28,8 @@
   int Slots = 4;
 };
 
-/// What a finished program left behind.
-struct ProgramEnd {
+/// Exit code and output of a finished program.
+struct ProgramResult {
   int Code = -1;
   std::string Output;
 };
@@ -46,17 +47,18 @@
 
   void startNode(const std::string &Name);
   void signal(const std::string &Name, int Signal);
-  /// Kills at once and waits for the end.
+  /// Sends SIGKILL and waits for the process to end.
   void killNode(const std::string &Name);
-  /// Waits for a process to end. \returns its exit code.
+  /// Waits for a process to end.
+  /// \returns its exit code, or -1 if it is still running after the timeout.
   int waitForEnd(const std::string &Name);
 
   HttpResult submit(const std::string &Entry, const std::string &Body);
   HttpResult call(const std::string &Method, const std::string &Url,
                   const std::string &Body = "");
-  /// Runs yardwheelctl with the cluster's addresses.
-  ProgramEnd ctl(const std::vector<std::string> &Words);
-  ProgramEnd runProgram(const std::vector<std::string> &Words);
+  /// Runs yardwheelctl with the cluster's addresses and \p Words.
+  ProgramResult ctl(const std::vector<std::string> &Words);
+  ProgramResult runProgram(const std::vector<std::string> &Words);
 
   std::string httpOf(const std::string &Name) const {
     return this->Http.at(Name);
@@ -65,12 +67,12 @@
     return this->Folder + "/" + Name + ".yaml";
   }
   const std::string &folder() const { return this->Folder; }
-  /// Name of the control replica that leads; empty if none does.
+  /// Returns the name of the leading control replica; empty if there is none.
   std::string leader();
 
-  /// Starts that the upstreams have logged, by "job task".
+  /// Returns the number of starts logged by the upstreams, by "job task".
   std::map<std::string, int> starts() const;
-  /// Tasks that were started more than once.
+  /// Returns the number of tasks that were started more than once.
   int doubleStarts() const;
 
 private:
@@ -86,10 +88,11 @@
   std::map<std::string, pid_t> Running;
 };
 
-/// Polls until \p Done; false after half a minute.
+/// Polls until \p Done returns true.
+/// \returns false if it has not after 30 seconds.
 bool waitFor(const std::function<bool()> &Done);
 
-/// A port of 127.0.0.1 that nothing listens on.
+/// Returns a port of 127.0.0.1 on which nothing listens.
 int freePort();
 
 } // namespace yardwheel
--- a/tests/system/tool_test.cpp
+++ b/tests/system/tool_test.cpp
@@ -65,7 +65,7 @@
       {{"replica", "remove", "c9"}, 4, "not found"},
   };
   for (const Row &Case : Table) {
-    ProgramEnd End = Cluster.ctl(Case.Words);
+    ProgramResult End = Cluster.ctl(Case.Words);
     std::string What;
     for (const std::string &Word : Case.Words)
       What += Word + " ";
@@ -123,8 +123,8 @@
                                   Cluster.settingsOf("c9"), "--join"})
                      .Code);
   Cluster.startNode("c9");
-  ProgramEnd Add = Cluster.ctl({"replica", "add", "c9", "--address", Link,
-                                "--http-address", Cluster.httpOf(Lost)});
+  ProgramResult Add = Cluster.ctl({"replica", "add", "c9", "--address", Link,
+                                   "--http-address", Cluster.httpOf(Lost)});
   LONGS_EQUAL_TEXT(0, Add.Code, Add.Output.c_str());
   CHECK_TRUE(waitFor([&] {
     return Cluster.ctl({"replica", "promote", "c9"}).Code == 0;
@@ -134,7 +134,7 @@
   }));
   // A second host fails right after the replacement.
   Cluster.killNode(Cluster.leader());
-  ProgramEnd Set =
+  ProgramResult Set =
       Cluster.ctl({"workspace", "set", "bids", "--set", "weight=77"});
   LONGS_EQUAL_TEXT(0, Set.Code, Set.Output.c_str());
 }
