--- a/main/lease_entry_process.cpp
+++ b/main/lease_entry_process.cpp
@@ -12,21 +12,22 @@
 
 namespace {
 
-/// Kept of the shutdown grace for the answers' way out.
+/// Part of the shutdown grace reserved for sending the last responses.
 constexpr std::chrono::milliseconds FlushTime{300};
-/// The longest that a job taken during shutdown may still need; the rest of
-/// the grace goes by while new jobs are refused.
-constexpr std::chrono::milliseconds LongestJob{1700};
+/// Maximum time that a job accepted during shutdown may still take. New jobs
+/// are refused in this part of the shutdown grace.
+constexpr std::chrono::milliseconds MaxJobTime{1700};
 
-/// Of the time for the longest job, kept for the answers to jobs that have not
-/// ended by then.
-constexpr std::chrono::milliseconds GiveUpTime{150};
+/// Part of MaxJobTime reserved for answering jobs that have not completed by
+/// then.
+constexpr std::chrono::milliseconds CancelTime{150};
 
-/// For a caller on a link that loses packets to send a request whole.
+/// Time for a caller on a lossy link to send a complete request.
 constexpr std::chrono::milliseconds CallerTimeout{10000};
 
-/// Far above the placements that an entry makes in a microsecond, the unit of
-/// incarnations, so that no two lives give one number twice.
+/// Upper bound on placements per microsecond, the unit of incarnations. It is
+/// far above the real rate, so that no two incarnations use the same order
+/// number.
 constexpr std::uint64_t MaxOrdersPerMicrosecond = 1000;
 
 class LeaseEntryProcess final : public Process, AnnouncerEvents {
@@ -60,21 +61,23 @@
   SystemClock Source;
   NodeCatalog Catalog;
   std::atomic<bool> Draining{false};
-  /// As the balancer was last told; the loop's.
-  Readiness ReadyRule;
+  /// Computes readiness; used on the loop's thread only.
+  Readiness ReadinessRule;
+  /// Readiness last reported to the load balancer; used on the loop's thread
+  /// only.
   bool Ready = false;
   std::atomic<std::size_t> InFlight{0};
   LinkNode Node;
   SelfLoad Load{SelfLoadOptions()};
   TableLease Table;
-  /// As it was last logged; the loop's.
+  /// State last logged; used on the loop's thread only.
   TableState LoggedTable = TableState::Unknown;
   std::shared_ptr<platform::CallerHandler> Gate;
   std::shared_ptr<platform::HealthHandler> Health;
   LeaseCoordinator Coordinator;
   Announcer Announce;
-  HttpServer Callers;
-  HttpServer Balancer;
+  HttpServer CallerServer;
+  HttpServer HealthServer;
   HttpServer MetricsServer;
 };
 
@@ -91,7 +94,7 @@
       Announce(planEntryAnnouncer(Plan),
                planMember(Plan, peer::ROLE_ENTRY, this->Incarnation),
                this->Catalog, this->Node.links(), *this),
-      Callers(
+      CallerServer(
           (this->Gate->connect(this->Node.loop(), this->Coordinator),
            HttpServerOptions{.Listen = Plan.CallerListen,
                              .Threads = 1,
@@ -99,7 +102,7 @@
                              .HeaderTimeout = CallerTimeout,
                              .Headers = platform::CallerHandler::headers()}),
           this->Gate),
-      Balancer({.Listen = Plan.HealthListen, .Threads = 1}, this->Health),
+      HealthServer({.Listen = Plan.HealthListen, .Threads = 1}, this->Health),
       MetricsServer({.Listen = Plan.MetricsListen, .Threads = 1},
                     this->Metrics) {
   this->Node.start({[this](Instant Now) { this->tick(Now); },
@@ -149,7 +152,7 @@
   Facts.KeepsUp = this->Load.mayBeReady(Now.Steady, LastIdle);
   Facts.Draining = this->Draining.load();
   Facts.Table = this->Table.status(Now.Steady, LastIdle).State;
-  bool Ready = this->ReadyRule.update(Facts, Now.Steady);
+  bool Ready = this->ReadinessRule.update(Facts, Now.Steady);
   if (Ready != this->Ready)
     this->Log.decision("readiness",
                        {{"ready", Ready},
@@ -212,17 +215,17 @@
 }
 
 void LeaseEntryProcess::reload() {
-  takeOverSeeds(this->Node.loop(), this->Log, [this](const auto &Seeds) {
-    this->Announce.addControls(Seeds);
-  });
+  reloadSeeds(this->Node.loop(), this->Log,
+              [this](const auto &Seeds) { this->Announce.addControls(Seeds); });
 }
 
 void LeaseEntryProcess::drain() {
   this->Draining.store(true);
   this->Health->setReady(false);
-  auto Serve = this->Plan.Times.ShutdownGrace - LongestJob - FlushTime;
-  // Callers use open connections on, so jobs are taken for a while. Where all
-  // have gone elsewhere, the sooner this process is back the better.
+  auto Serve = this->Plan.Times.ShutdownGrace - MaxJobTime - FlushTime;
+  // Callers keep using open connections, so jobs are accepted for a while. Once
+  // all callers have moved elsewhere, the drain ends early so that this process
+  // can restart sooner.
   DrainOptions Options;
   Options.MaxDrain = Serve;
   DrainWatch Watch(Options, this->Source.now().Steady);
@@ -231,21 +234,23 @@
                         this->Source.now().Steady);
   });
   this->Gate->refuseNew();
-  // A request read just before may still be on its way to a loop that is held
-  // up, so that no job in flight is no proof; each request read is counted.
+  // A request read just before may still be queued for a delayed loop, so a
+  // count of zero jobs in flight does not show that all requests are answered.
+  // The server counts each request that it reads.
   auto AllAnswered = [this] {
-    return this->Callers.answers().unanswered() == 0;
+    return this->CallerServer.answers().unanswered() == 0;
   };
-  if (!waitUntil(LongestJob - GiveUpTime, AllAnswered)) {
+  if (!waitUntil(MaxJobTime - CancelTime, AllAnswered)) {
     this->Log.warning("Entry {} stops with {} jobs in flight.", this->Plan.Node,
                       this->InFlight.load());
-    // Their callers learn that the end is not known, instead of being cut off.
+    // Callers are told that the outcome is unknown instead of losing their
+    // connections without a response.
     this->Node.loop().post([this](Instant Now) {
       this->Coordinator.cancelAll("this process ends", Now);
     });
-    waitUntil(GiveUpTime, AllAnswered);
+    waitUntil(CancelTime, AllAnswered);
   }
-  // Answers handed to the server still have to reach their sockets.
+  // The server needs time to write the last responses to their sockets.
   std::this_thread::sleep_for(FlushTime / 2);
   this->stop();
 }
@@ -253,7 +258,7 @@
 void LeaseEntryProcess::publishMetrics(Instant Now) {
   if (Now.Steady < this->NextMetrics)
     return;
-  this->NextMetrics = Now.Steady + MetricsEvery;
+  this->NextMetrics = Now.Steady + MetricsInterval;
   const CoordinatorCounters &Counts = this->Coordinator.counters();
   std::string Text = this->Coordinator.metrics().text();
   Text += metricLine("yardwheel_jobs_completed_total", Counts.Completed);
@@ -274,13 +279,13 @@
   if (Table.Age)
     Text += metricLine("yardwheel_route_table_age_ms", Table.Age->count());
   Text += this->Gate->describeRefusals();
-  Text += describeProcess(this->Node, this->Callers);
+  Text += describeProcess(this->Node, this->CallerServer);
   this->Metrics->publish(std::move(Text));
 }
 
 void LeaseEntryProcess::stop() {
-  this->Callers.stop();
-  this->Balancer.stop();
+  this->CallerServer.stop();
+  this->HealthServer.stop();
   this->MetricsServer.stop();
   this->Node.stop();
 }
--- a/tests/http/http_server_test.cpp
+++ b/tests/http/http_server_test.cpp
@@ -35,7 +35,7 @@
 
 namespace {
 
-constexpr milliseconds AnswerTimeout = CallerPatience;
+constexpr milliseconds AnswerTimeout = CallerReadTimeout;
 
 /// Keeps replies for the test to send, and blocks the server's thread on
 /// requests whose path starts with /hold until release().
--- a/tests/system/tool_test.cpp
+++ b/tests/system/tool_test.cpp
@@ -10,7 +10,7 @@
 
 TEST_GROUP(ToolTest){};
 
-TEST(ToolTest, CommandsAnswerWithCodesThatScriptsCanUse) {
+TEST(ToolTest, CommandsReturnDocumentedExitCodes) {
   SystemCluster Cluster({.Controls = 3, .Entries = 2});
   Cluster.start();
   std::string Job = Cluster.folder() + "/job.json";
@@ -65,7 +65,7 @@
       {{"replica", "remove", "c9"}, 4, "not found"},
   };
   for (const Row &Case : Table) {
-    ProgramEnd End = Cluster.ctl(Case.Words);
+    ProgramResult End = Cluster.ctl(Case.Words);
     std::string What;
     for (const std::string &Word : Case.Words)
       What += Word + " ";
@@ -75,7 +75,7 @@
   }
 }
 
-TEST(ToolTest, MetricsHaveHistogramsForEachWorkspaceAndClass) {
+TEST(ToolTest, MetricsHaveHistogramsPerWorkspaceAndClass) {
   SystemCluster Cluster({.Controls = 1, .Entries = 1});
   Cluster.start();
   Cluster.submit("e1", R"({"tasks":[{"payload":"a"},{"payload":"b"}]})");
@@ -95,13 +95,13 @@
   LONGS_EQUAL(200, Cluster.call("GET", Control + "/readyz").Status);
 }
 
-TEST(ToolTest, ALostReplicaIsReplacedWithTheTool) {
+TEST(ToolTest, OperatorReplacesALostReplica) {
   SystemCluster Cluster(SystemOptions{});
   Cluster.start();
   std::string Leader = Cluster.leader();
   std::string Lost = Leader == "c1" ? "c2" : "c1";
   Cluster.killNode(Lost);
-  // The new replica takes the lost one's addresses under a name of its own.
+  // The new replica uses the lost replica's addresses under a new name.
   std::ifstream Old(Cluster.settingsOf(Lost));
   std::string Text((std::istreambuf_iterator<char>(Old)),
                    std::istreambuf_iterator<char>());
@@ -123,8 +123,8 @@
                                   Cluster.settingsOf("c9"), "--join"})
                      .Code);
   Cluster.startNode("c9");
-  ProgramEnd Add = Cluster.ctl({"replica", "add", "c9", "--address", Link,
-                                "--http-address", Cluster.httpOf(Lost)});
+  ProgramResult Add = Cluster.ctl({"replica", "add", "c9", "--address", Link,
+                                   "--http-address", Cluster.httpOf(Lost)});
   LONGS_EQUAL_TEXT(0, Add.Code, Add.Output.c_str());
   CHECK_TRUE(waitFor([&] {
     return Cluster.ctl({"replica", "promote", "c9"}).Code == 0;
@@ -132,9 +132,9 @@
   CHECK_TRUE(waitFor([&] {
     return Cluster.ctl({"replica", "remove", Lost}).Code == 0;
   }));
-  // A second host is lost right after the repair.
+  // A second host fails right after the replacement.
   Cluster.killNode(Cluster.leader());
-  ProgramEnd Set =
+  ProgramResult Set =
       Cluster.ctl({"workspace", "set", "bids", "--set", "weight=77"});
   LONGS_EQUAL_TEXT(0, Set.Code, Set.Output.c_str());
 }
--- a/tool/job_commands.cpp
+++ b/tool/job_commands.cpp
@@ -18,8 +18,10 @@
   return fmt::format("/v1/workspaces/{}/jobs/{}", Line.Words[0], Line.Words[1]);
 }
 
-/// Prints a job's answer; a declared failure is an answer, not an accident.
-ExitCode takeAnswer(ApiClient &Client, const HttpResult &Answer) {
+/// Prints a job's response. A declared job failure is a valid response.
+/// \returns the exit code, JobFailed for a declared failure unless its status
+/// has a more precise one.
+ExitCode printAnswer(ApiClient &Client, const HttpResult &Answer) {
   if (Answer.Status == 0) {
     fmt::print(stderr, "yardwheelctl: no answer: {}\n", Answer.Problem);
     return ExitCode::Unavailable;
@@ -51,7 +53,7 @@
   return Precise ? Code : ExitCode::JobFailed;
 }
 
-/// Asks for a job's answer until it is final.
+/// Polls for a job's response until it is final.
 HttpResult pollUntilFinal(ApiClient &Client, const std::string &Workspace,
                           HttpResult Answer) {
   constexpr std::chrono::milliseconds Pause{200};
@@ -77,18 +79,18 @@
     fmt::print(stderr, "{}: {}\n", Line.Words[1], Wrong);
     return ExitCode::Usage;
   }
-  // With an id of its own, the submission may be sent to another entry.
+  // An id makes it safe to resend the submission to another entry.
   if (Document.id().empty())
     Document.set_id(Line.get("id", newId()));
   std::string Path = fmt::format("/v1/workspaces/{}/jobs", Line.Words[0]);
   HttpResult Answer = Client.entry("POST", Path, toJson(Document));
-  return takeAnswer(Client,
-                    pollUntilFinal(Client, Line.Words[0], std::move(Answer)));
+  return printAnswer(Client,
+                     pollUntilFinal(Client, Line.Words[0], std::move(Answer)));
 }
 
 ExitCode showJob(ApiClient &Client, const Arguments &Rest) {
   CommandLine Line = expectWords(Rest, 2, {}, "job show WORKSPACE ID");
-  return takeAnswer(Client, Client.entry("GET", jobPath(Line)));
+  return printAnswer(Client, Client.entry("GET", jobPath(Line)));
 }
 
 ExitCode cancelJob(ApiClient &Client, const Arguments &Rest) {
@@ -97,7 +99,7 @@
   api::JobAnswer Document;
   bool Cancelled = fromJson(Answer.Body, Document).empty() &&
                    Document.failure().kind() == "cancelled";
-  ExitCode Code = takeAnswer(Client, Answer);
+  ExitCode Code = printAnswer(Client, Answer);
   return Cancelled || Answer.Status == HttpOk ? ExitCode::Ok : Code;
 }
 
--- a/tool/workspace_commands.cpp
+++ b/tool/workspace_commands.cpp
@@ -17,7 +17,7 @@
   return fmt::format("/v1/{}/{}", Kind, Name);
 }
 
-/// Adds what `--set KEY=VALUE` gives.
+/// Adds the parameters given by `--set KEY=VALUE`.
 template <typename Document>
 void addParameters(const CommandLine &Line, Document &Target) {
   auto Given = Line.Options.find("set");
@@ -64,7 +64,7 @@
     Added->set_value(Item.second.Scalar());
   }
   std::string Path = pathOf("templates", Root["name"].Scalar());
-  return takeChange(Client, Client.control("PUT", Path, toJson(Document)));
+  return printChange(Client, Client.control("PUT", Path, toJson(Document)));
 }
 
 ExitCode listTemplates(ApiClient &Client, const Arguments &Rest) {
@@ -99,7 +99,7 @@
   Document.set_template_name(Line.get("template"));
   addParameters(Line, Document);
   std::string Path = pathOf("workspaces", Line.Words[0]);
-  return takeChange(Client, Client.control("POST", Path, toJson(Document)));
+  return printChange(Client, Client.control("POST", Path, toJson(Document)));
 }
 
 ExitCode setWorkspace(ApiClient &Client, const Arguments &Rest) {
@@ -111,7 +111,7 @@
   Document.set_base_version(readVersion(Line));
   addParameters(Line, Document);
   std::string Path = pathOf("workspaces", Line.Words[0]);
-  return takeChange(Client, Client.control("PATCH", Path, toJson(Document)));
+  return printChange(Client, Client.control("PATCH", Path, toJson(Document)));
 }
 
 ExitCode showWorkspace(ApiClient &Client, const Arguments &Rest) {
--- a/tool/yardwheelctl.cpp
+++ b/tool/yardwheelctl.cpp
@@ -110,7 +110,8 @@
   return false;
 }
 
-/// Hands gflags only the options that all commands share.
+/// Passes the options that all commands share to gflags.
+/// \returns the other arguments.
 Arguments readShared(const Arguments &Given) {
   std::vector<std::string> Shared = {"yardwheelctl"};
   Arguments Rest;
@@ -192,7 +193,7 @@
   return Text.str();
 }
 
-ExitCode takeChange(ApiClient &Client, const HttpResult &Answer) {
+ExitCode printChange(ApiClient &Client, const HttpResult &Answer) {
   api::ChangeAnswer Document;
   ExitCode Code = Client.take(Answer, Document);
   if (Code == ExitCode::Ok && !Client.options().Json)
